--- a/src/coordination/calls_per_run.rs
+++ b/src/coordination/calls_per_run.rs
@@ -6,8 +6,8 @@
 //! a VM does much of one class, the second where it does little.
 
 use crate::state::{
-    moment::Moment,
     names::{ClassName, ServiceName},
+    timestamp::Timestamp,
 };
 use std::{collections::HashMap, time::Duration};
 
@@ -21,15 +21,15 @@
 #[derive(Clone, Copy, Debug)]
 struct FadingCount {
     count: f64,
-    at: Moment,
+    at: Timestamp,
 }
 
 impl FadingCount {
-    fn read(self, now: Moment) -> f64 {
+    fn read(self, now: Timestamp) -> f64 {
         self.count * (-now.since(self.at).as_secs_f64() / MEMORY.as_secs_f64()).exp()
     }
 
-    fn add_one(&mut self, now: Moment) {
+    fn add_one(&mut self, now: Timestamp) {
         self.count = self.read(now) + 1.0;
         self.at = now;
     }
@@ -39,7 +39,7 @@
     fn default() -> Self {
         Self {
             count: 0.0,
-            at: Moment(0),
+            at: Timestamp(0),
         }
     }
 }
@@ -70,14 +70,14 @@
 
 impl CallsPerRun {
     /// Counts a request that begins on this VM.
-    pub fn note_request(&mut self, service: &ServiceName, now: Moment) {
+    pub fn note_request(&mut self, service: &ServiceName, now: Timestamp) {
         let arrivals = self.arrivals.entry(service.clone()).or_default();
         arrivals.recent.add_one(now);
         arrivals.all += 1;
     }
 
     /// Counts a run that begins; what is returned goes to [`Self::note_end`].
-    pub fn note_start(&mut self, class: &ClassName, now: Moment) -> RunStart {
+    pub fn note_start(&mut self, class: &ClassName, now: Timestamp) -> RunStart {
         let runs = self.classes.entry(class.clone()).or_default();
         runs.recent.add_one(now);
         let arrivals = self.arrivals.iter();
@@ -106,7 +106,7 @@
     /// Calls that a run of a class makes at each service, at the most. Nothing is known of a class before its
     /// first run has ended.
     #[must_use]
-    pub fn bound_calls(&self, class: &ClassName, now: Moment) -> Vec<(ServiceName, f64)> {
+    pub fn bound_calls(&self, class: &ClassName, now: Timestamp) -> Vec<(ServiceName, f64)> {
         let Some(runs) = self.classes.get(class) else {
             return Vec::new();
         };
--- a/src/coordination/offer_rounds.rs
+++ b/src/coordination/offer_rounds.rs
@@ -7,7 +7,7 @@
 //! version, and beyond it while it doesn't answer. That is a message or two a node and change; were the readers to ask
 //! all, it would be 3.6 KB/s for each of them at 870 nodes and 2,700 changes a day.
 
-use crate::state::{configuration::ConfigurationVersion, moment::Moment};
+use crate::state::{configuration::ConfigurationVersion, timestamp::Timestamp};
 use std::{
     collections::{BTreeMap, BTreeSet},
     net::SocketAddr,
@@ -33,7 +33,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Tried {
     pause: Duration,
-    again: Moment,
+    again: Timestamp,
 }
 
 /// The nodes that were offered the version in force.
@@ -58,7 +58,12 @@
     }
 
     /// The nodes that are asked directly now, given the others of the zone from the one after this on.
-    pub fn plan_checks(&mut self, version: V, ring: &[RingNode], now: Moment) -> Vec<SocketAddr> {
+    pub fn plan_checks(
+        &mut self,
+        version: V,
+        ring: &[RingNode],
+        now: Timestamp,
+    ) -> Vec<SocketAddr> {
         self.begin(version);
         let mut due = Vec::new();
         for node in ring.iter().take(REACH) {
@@ -88,7 +93,7 @@
     }
 }
 
-fn plan_next(tried: Option<Tried>, now: Moment) -> Tried {
+fn plan_next(tried: Option<Tried>, now: Timestamp) -> Tried {
     let (least, most) = PAUSES;
     let pause = tried.map_or(least, |tried| (tried.pause * 2).min(most));
     Tried {
--- a/src/coordination/placement.rs
+++ b/src/coordination/placement.rs
@@ -6,9 +6,9 @@
 
 use crate::state::{
     ablation::Mechanism,
-    moment::Moment,
     names::{AvailabilityZoneName, ClassName, ServiceName},
     placement_view::NodeView,
+    timestamp::Timestamp,
 };
 use std::{net::SocketAddr, time::Duration};
 
@@ -43,7 +43,7 @@
     (service, class): (&ServiceName, &ClassName),
     zone: &AvailabilityZoneName,
     mut chance: impl FnMut() -> f64,
-    now: Moment,
+    now: Timestamp,
 ) -> Vec<PlacementCandidate> {
     let of_service = views.clone().filter(|view| view.record.service == *service);
     let usual_failures = find_usual_failures(of_service);
@@ -73,7 +73,7 @@
 
 /// Requests there as a share of what runs at once, weighed by how slow the VM said it is and by what
 /// fails there beyond the usual.
-fn estimate_cost(view: &NodeView, usual_failures: u8, now: Moment) -> f64 {
+fn estimate_cost(view: &NodeView, usual_failures: u8, now: Timestamp) -> f64 {
     let fresh = view
         .load
         .filter(|(_, at)| now.since(*at) < LOAD_LIFETIME)
@@ -98,7 +98,7 @@
     busy / limit * (1.0 + (slowdown - 1.0) * weight) * failing
 }
 
-fn weigh_silence(view: &NodeView, now: Moment) -> f64 {
+fn weigh_silence(view: &NodeView, now: Timestamp) -> f64 {
     if Mechanism::SilenceWeighing.is_off() {
         return 1.0;
     }
--- a/src/coordination/repeat_budget.rs
+++ b/src/coordination/repeat_budget.rs
@@ -8,7 +8,7 @@
 //! begin at the node beside the upstream that runs the repeated request, so that node pays for them out of
 //! its own part before it lets the request run.
 
-use crate::state::moment::Moment;
+use crate::state::timestamp::Timestamp;
 use std::{collections::VecDeque, time::Duration};
 
 /// What the operators allow.
@@ -49,26 +49,26 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Spent {
-    at: Moment,
+    at: Timestamp,
     amount: f64,
 }
 
 /// One node's part of the budget of one service.
 #[derive(Clone, Debug, Default)]
 pub struct RepeatBudget {
-    requests: VecDeque<Moment>,
+    requests: VecDeque<Timestamp>,
     repeats: VecDeque<Spent>,
 }
 
 impl RepeatBudget {
     /// Counts a request.
-    pub fn count_request(&mut self, now: Moment, rules: RepeatRules) {
+    pub fn count_request(&mut self, now: Timestamp, rules: RepeatRules) {
         self.requests.push_back(now);
         self.forget(now, rules);
     }
 
     /// Whether the budget holds that many repeats now. Expected calls come in fractions.
-    pub fn has_room(&mut self, now: Moment, share: RepeatShare, amount: f64) -> bool {
+    pub fn has_room(&mut self, now: Timestamp, share: RepeatShare, amount: f64) -> bool {
         self.forget(now, share.rules);
         let earned = share.rules.ratio * as_float(self.requests.len());
         let allowed = (earned + share.slack()) * SAFETY;
@@ -77,7 +77,7 @@
     }
 
     /// Takes that many repeats, if the budget holds them.
-    pub fn take(&mut self, now: Moment, share: RepeatShare, amount: f64) -> bool {
+    pub fn take(&mut self, now: Timestamp, share: RepeatShare, amount: f64) -> bool {
         let granted = self.has_room(now, share, amount);
         if granted {
             self.repeats.push_back(Spent { at: now, amount });
@@ -96,8 +96,8 @@
         }
     }
 
-    fn forget(&mut self, now: Moment, rules: RepeatRules) {
-        let old = |at: Moment| now.since(at) > rules.window;
+    fn forget(&mut self, now: Timestamp, rules: RepeatRules) {
+        let old = |at: Timestamp| now.since(at) > rules.window;
         while self.requests.front().is_some_and(|at| old(*at)) {
             self.requests.pop_front();
         }
--- a/src/coordination/retiring.rs
+++ b/src/coordination/retiring.rs
@@ -8,7 +8,7 @@
 //! written it anew: only after long silence, only if other nodes can't reach it either, and only if the
 //! store has nothing newer. Pure: each moment and each answer is told.
 
-use crate::state::{moment::Moment, names::AvailabilityZoneName};
+use crate::state::{names::AvailabilityZoneName, timestamp::Timestamp};
 use std::{
     collections::{BTreeMap, BTreeSet},
     net::SocketAddr,
@@ -41,8 +41,8 @@
 struct Watched {
     record: WatchedRecord,
     /// Last sign of the node, or the begin of the watch.
-    heard: Moment,
-    asked: Moment,
+    heard: Timestamp,
+    asked: Timestamp,
 }
 
 /// What the watching node knows of the others.
@@ -53,7 +53,7 @@
 
 impl RetirementWatch {
     /// Takes in the records that the store holds now. A new one, or a new record of a known node, counts as a sign of it.
-    pub fn follow(&mut self, records: impl Iterator<Item = WatchedRecord>, now: Moment) {
+    pub fn follow(&mut self, records: impl Iterator<Item = WatchedRecord>, now: Timestamp) {
         let mut before = std::mem::take(&mut self.nodes);
         for record in records {
             let known = before.remove(&record.address);
@@ -68,18 +68,18 @@
     }
 
     /// Takes in a sign of a node.
-    pub fn note_heard(&mut self, address: SocketAddr, at: Moment) {
+    pub fn note_heard(&mut self, address: SocketAddr, at: Timestamp) {
         if let Some(watched) = self.nodes.get_mut(&address) {
             watched.heard = watched.heard.max(at);
         }
     }
 
     /// Nodes to be asked now, at most `most`, those that were asked longest ago first. They count as asked.
-    pub fn take_due(&mut self, most: usize, now: Moment) -> Vec<SocketAddr> {
+    pub fn take_due(&mut self, most: usize, now: Timestamp) -> Vec<SocketAddr> {
         let is_due = |watched: &&Watched| {
             now.since(watched.heard) >= ASK_EVERY && now.since(watched.asked) >= ASK_EVERY
         };
-        let mut due: Vec<(Moment, SocketAddr)> = self
+        let mut due: Vec<(Timestamp, SocketAddr)> = self
             .nodes
             .values()
             .filter(is_due)
@@ -105,7 +105,7 @@
 
     /// Nodes that count as gone, unless another node can reach them.
     #[must_use]
-    pub fn list_gone(&self, now: Moment) -> Vec<SocketAddr> {
+    pub fn list_gone(&self, now: Timestamp) -> Vec<SocketAddr> {
         let alive: BTreeSet<&AvailabilityZoneName> = self
             .nodes
             .values()
@@ -127,7 +127,7 @@
     /// Nodes that can be asked whether they reach `suspect`, those of its zone first: a link between zones may
     /// be all that is wrong.
     #[must_use]
-    pub fn list_witnesses(&self, suspect: SocketAddr, now: Moment) -> Vec<SocketAddr> {
+    pub fn list_witnesses(&self, suspect: SocketAddr, now: Timestamp) -> Vec<SocketAddr> {
         let Some(zone) = self.nodes.get(&suspect) else {
             return Vec::new();
         };
--- a/src/coordination/slot_queue.rs
+++ b/src/coordination/slot_queue.rs
@@ -20,7 +20,7 @@
         slow_start::{SlowStart, ToldColdTime},
         vm_pace::Pace,
     },
-    state::{ablation::Mechanism, moment::Moment},
+    state::{ablation::Mechanism, timestamp::Timestamp},
 };
 use forecast::forecast_start;
 use late_share::LateShare;
@@ -74,15 +74,15 @@
     priority: u8,
     expected: Duration,
     /// Started later, it ends later than it should; none if it could not end in time when it came.
-    on_time_until: Option<Moment>,
+    on_time_until: Option<Timestamp>,
     /// Started later, it does not end before its deadline.
-    until: Moment,
+    until: Timestamp,
 }
 
 impl Waiting {
     /// Requests that can still be on time go before those of their priority that can't: work for an
     /// answer that is late already would make the next one late as well.
-    fn rank(&self, now: Moment) -> (u8, bool) {
+    fn rank(&self, now: Timestamp) -> (u8, bool) {
         let priority = if Mechanism::Ranks.is_off() {
             0
         } else {
@@ -91,7 +91,7 @@
         (priority, self.is_late(now))
     }
 
-    fn is_late(&self, now: Moment) -> bool {
+    fn is_late(&self, now: Timestamp) -> bool {
         self.on_time_until.is_none_or(|until| now > until)
     }
 }
@@ -99,7 +99,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Running {
     number: SlotNumber,
-    ends: Moment,
+    ends: Timestamp,
 }
 
 /// The slots of one upstream.
@@ -118,7 +118,7 @@
 impl SlotQueue {
     /// An idle upstream that runs `limit` requests at once.
     #[must_use]
-    pub fn new(limit: usize, now: Moment) -> Self {
+    pub fn new(limit: usize, now: Timestamp) -> Self {
         Self {
             limit: limit.max(1),
             running: Vec::new(),
@@ -155,7 +155,7 @@
     }
 
     /// Takes a new limit; requests beyond a lowered one end as they would have.
-    pub fn set_limit(&mut self, limit: usize, now: Moment) -> Vec<SlotAction> {
+    pub fn set_limit(&mut self, limit: usize, now: Timestamp) -> Vec<SlotAction> {
         self.limit = limit.max(1);
         self.fill(now)
     }
@@ -171,24 +171,24 @@
     }
 
     /// Records the warmup state that the upstream reports.
-    pub fn note_cold_time(&mut self, told: ToldColdTime, now: Moment) {
+    pub fn note_cold_time(&mut self, told: ToldColdTime, now: Timestamp) {
         self.slow_start.note_told(told, now);
     }
 
     /// Whether the upstream is cold as far as is known.
     #[must_use]
-    pub fn is_cold(&self, now: Moment) -> bool {
+    pub fn is_cold(&self, now: Timestamp) -> bool {
         self.slow_start.is_cold(now)
     }
 
     /// Records the current pace of the VM.
-    pub fn set_pace(&mut self, pace: Pace, now: Moment) -> Vec<SlotAction> {
+    pub fn set_pace(&mut self, pace: Pace, now: Timestamp) -> Vec<SlotAction> {
         self.pace = pace;
         self.fill(now)
     }
 
     /// Decides on a new request.
-    pub fn offer(&mut self, request: SlotRequest, now: Moment) -> SlotDecision {
+    pub fn offer(&mut self, request: SlotRequest, now: Timestamp) -> SlotDecision {
         let on_time = self.forecast(&request, now);
         let fits = on_time <= request.target_left;
         let waiting = self.describe(&request, fits, now);
@@ -212,7 +212,7 @@
     }
 
     /// The request as it would wait; `fits` if it could end in time.
-    fn describe(&self, request: &SlotRequest, fits: bool, now: Moment) -> Waiting {
+    fn describe(&self, request: &SlotRequest, fits: bool, now: Timestamp) -> Waiting {
         let takes = self.pace.stretch_usual(request.expected);
         let latest = now + request.target_left.saturating_sub(takes);
         Waiting {
@@ -225,19 +225,19 @@
     }
 
     /// Whether a new request runs at once. At a slow moment one that wants a slot at once goes to another node.
-    fn may_start(&self, request: &SlotRequest, now: Moment) -> bool {
+    fn may_start(&self, request: &SlotRequest, now: Timestamp) -> bool {
         let has_room = self.has_room(now) && self.waiting.is_empty();
         let goes_elsewhere = self.pace.is_slow() && request.within.is_zero();
         has_room && self.pace.pays_to_start(request.expected) && !goes_elsewhere
     }
 
     /// Whether one more request may run now.
-    fn has_room(&self, now: Moment) -> bool {
+    fn has_room(&self, now: Timestamp) -> bool {
         self.running.len() < self.limit && self.slow_start.wait(0, now).is_zero()
     }
 
     /// Records the end of a request at the upstream.
-    pub fn finish(&mut self, number: SlotNumber, now: Moment) -> Vec<SlotAction> {
+    pub fn finish(&mut self, number: SlotNumber, now: Timestamp) -> Vec<SlotAction> {
         self.running.retain(|running| running.number != number);
         self.fill(now)
     }
@@ -258,13 +258,13 @@
     }
 
     /// Looks at the waiting requests again.
-    pub fn expire(&mut self, now: Moment) -> Vec<SlotAction> {
+    pub fn expire(&mut self, now: Timestamp) -> Vec<SlotAction> {
         self.fill(now)
     }
 
     /// When [`Self::expire`] has something to do.
     #[must_use]
-    pub fn next_expiry(&self, now: Moment) -> Option<Moment> {
+    pub fn next_expiry(&self, now: Timestamp) -> Option<Timestamp> {
         let expiry = self.waiting.iter().map(|waiting| waiting.until).min()?;
         let wait = self.slow_start.wait(0, now);
         let is_held_back = self.running.len() < self.limit && !wait.is_zero();
@@ -276,7 +276,7 @@
     }
 
     /// Time in which a request would have ended that is offered now and goes before those that are late.
-    fn forecast(&self, request: &SlotRequest, now: Moment) -> Duration {
+    fn forecast(&self, request: &SlotRequest, now: Timestamp) -> Duration {
         let rank = (request.priority, false);
         let before = self
             .waiting
@@ -295,7 +295,7 @@
     }
 
     /// The same for one that goes after those that can be on time, also those that are still to come.
-    fn forecast_late(&self, request: &SlotRequest, now: Moment) -> Duration {
+    fn forecast_late(&self, request: &SlotRequest, now: Timestamp) -> Duration {
         let rank = (request.priority, true);
         let late = self.waiting.iter().filter(|waiting| waiting.is_late(now));
         let ahead: Duration = late
@@ -306,7 +306,7 @@
         self.forecast(request, now) + self.pace.stretch_usual(wait)
     }
 
-    fn start(&mut self, waiting: &Waiting, now: Moment) {
+    fn start(&mut self, waiting: &Waiting, now: Timestamp) {
         self.slow_start.note_start(now);
         self.running.push(Running {
             number: waiting.number,
@@ -314,7 +314,7 @@
         });
     }
 
-    fn fill(&mut self, now: Moment) -> Vec<SlotAction> {
+    fn fill(&mut self, now: Timestamp) -> Vec<SlotAction> {
         let mut actions = Vec::new();
         self.waiting.retain(|waiting| {
             let kept = now < waiting.until;
@@ -336,7 +336,7 @@
         actions
     }
 
-    fn find_next(&self, now: Moment) -> Option<usize> {
+    fn find_next(&self, now: Timestamp) -> Option<usize> {
         let startable = |waiting: &Waiting| self.pace.pays_to_start(waiting.expected);
         let indexed = self.waiting.iter().enumerate();
         indexed
--- a/src/coordination/slow_start.rs
+++ b/src/coordination/slow_start.rs
@@ -6,7 +6,7 @@
 //!
 //! Load pattern: all upstreams restart cold at once, and the requests queued meanwhile would start in one burst.
 
-use crate::state::moment::Moment;
+use crate::state::timestamp::Timestamp;
 use std::{collections::VecDeque, time::Duration};
 
 /// Sliding window of the limit: one second plus a margin for timer granularity.
@@ -64,13 +64,13 @@
 #[derive(Clone, Debug)]
 pub struct SlowStart {
     limit: usize,
-    cold_until: Moment,
+    cold_until: Timestamp,
     /// The last starts, oldest first.
-    starts: VecDeque<Moment>,
+    starts: VecDeque<Timestamp>,
     /// Start of the counting, while an earlier process of this node may have sent requests to the current run of the upstream.
-    counted_since: Option<Moment>,
+    counted_since: Option<Timestamp>,
     /// When this process started.
-    started: Moment,
+    started: Timestamp,
     /// An earlier process of this node has sent requests to the current run of the upstream.
     is_recalled: bool,
 }
@@ -78,10 +78,10 @@
 impl SlowStart {
     /// State of a node process that starts now. Requests sent by an earlier process are unknown.
     #[must_use]
-    pub fn new(now: Moment) -> Self {
+    pub fn new(now: Timestamp) -> Self {
         Self {
             limit: REMEMBERED,
-            cold_until: Moment::default(),
+            cold_until: Timestamp::default(),
             starts: VecDeque::new(),
             counted_since: Some(now),
             started: now,
@@ -92,7 +92,7 @@
     /// Resets the warmup for a new run of the upstream, whose requests all went through this process. Starts of the previous run still
     /// count: an upstream may restart under the same identity within the window.
     pub fn begin_run(&mut self) {
-        self.cold_until = Moment::default();
+        self.cold_until = Timestamp::default();
         self.counted_since = None;
         self.is_recalled = false;
     }
@@ -105,7 +105,7 @@
     }
 
     /// Records a report of the upstream. A report may have been delayed for seconds, so it never shortens the known warmup.
-    pub fn note_told(&mut self, told: ToldColdTime, now: Moment) {
+    pub fn note_told(&mut self, told: ToldColdTime, now: Timestamp) {
         if told.left.is_zero() {
             return;
         }
@@ -119,12 +119,12 @@
 
     /// Whether the upstream is known to be cold.
     #[must_use]
-    pub fn is_cold(&self, now: Moment) -> bool {
+    pub fn is_cold(&self, now: Timestamp) -> bool {
         now < self.cold_until
     }
 
     /// Records the start of a request.
-    pub fn note_start(&mut self, now: Moment) {
+    pub fn note_start(&mut self, now: Timestamp) {
         while self
             .starts
             .front()
@@ -138,7 +138,7 @@
 
     /// Time until a request may start if `ahead` other requests start before it.
     #[must_use]
-    pub fn wait(&self, ahead: usize, now: Moment) -> Duration {
+    pub fn wait(&self, ahead: usize, now: Timestamp) -> Duration {
         if !self.is_cold(now) {
             return Duration::ZERO;
         }
@@ -148,7 +148,7 @@
         (uncounted + self.wait_in_window(ahead, now)).min(until_warm)
     }
 
-    fn wait_in_window(&self, ahead: usize, now: Moment) -> Duration {
+    fn wait_in_window(&self, ahead: usize, now: Timestamp) -> Duration {
         let counted = self.starts.iter().filter(|start| **start + WINDOW > now);
         let place = counted.clone().count() + ahead;
         let Some(leaving) = place.checked_sub(self.limit) else {
--- a/src/coordination/table_sources.rs
+++ b/src/coordination/table_sources.rs
@@ -4,7 +4,7 @@
 //! offered it, once, and offers it on. Versions also stand on requests between nodes. These lead to nodes of any zone, many of
 //! them to the same, so they count only where no offer comes in time.
 
-use crate::state::{configuration::ConfigurationVersion, moment::Moment};
+use crate::state::{configuration::ConfigurationVersion, timestamp::Timestamp};
 use std::{collections::VecDeque, net::SocketAddr, time::Duration};
 
 /// Time that a node waits for an offer after it heard of a version by a request. With links of 10 to 200 Mbit/s half of 60
@@ -32,7 +32,7 @@
     /// Ask this node, which told of the version by a request; an offer that comes meanwhile goes first.
     AskHeard(SocketAddr, ConfigurationVersion),
     /// Look again then, or when an offer comes.
-    Wait(Moment),
+    Wait(Timestamp),
     /// Nothing is to be fetched, or nobody is left to ask.
     Done,
 }
@@ -46,7 +46,7 @@
     /// Nodes that told of a version by a request.
     hints: VecDeque<(SocketAddr, ConfigurationVersion)>,
     /// When the first of them told of the highest.
-    hinted: Option<Moment>,
+    hinted: Option<Timestamp>,
     /// Offers whose nodes have been asked.
     asked: Vec<TableOffer>,
 }
@@ -70,7 +70,7 @@
         from: SocketAddr,
         version: ConfigurationVersion,
         own: ConfigurationVersion,
-        now: Moment,
+        now: Timestamp,
     ) -> bool {
         if version <= own {
             return false;
@@ -89,7 +89,7 @@
     }
 
     /// What to do next, with version `own` in force.
-    pub fn take_step(&mut self, own: ConfigurationVersion, now: Moment) -> FetchStep {
+    pub fn take_step(&mut self, own: ConfigurationVersion, now: Timestamp) -> FetchStep {
         if self.heard <= own {
             self.hints.clear();
             self.hinted = None;
--- a/src/coordination/version_lag.rs
+++ b/src/coordination/version_lag.rs
@@ -3,7 +3,7 @@
 //! Requests between nodes carry the version in force at the sender. A node that can't fetch a reported version, because the
 //! nodes that have it or the links to them fail, must not handle requests by the older one without end.
 
-use crate::state::{configuration::ConfigurationVersion, moment::Moment};
+use crate::state::{configuration::ConfigurationVersion, timestamp::Timestamp};
 use std::{collections::VecDeque, time::Duration};
 
 /// Versions whose first report is remembered. Only the oldest of those not in force decides.
@@ -15,8 +15,8 @@
 #[derive(Debug, Default)]
 pub struct VersionLag {
     /// In ascending order, each with the time of the first report of it or of a newer one.
-    first_reports: VecDeque<(ConfigurationVersion, Moment)>,
-    last_report: Moment,
+    first_reports: VecDeque<(ConfigurationVersion, Timestamp)>,
+    last_report: Timestamp,
 }
 
 impl VersionLag {
@@ -25,7 +25,7 @@
         &mut self,
         version: ConfigurationVersion,
         own: ConfigurationVersion,
-        now: Moment,
+        now: Timestamp,
     ) {
         if version <= own {
             return;
@@ -44,13 +44,13 @@
 
     /// Whether a version newer than `own` was first reported more than `limit` ago and is still reported.
     #[must_use]
-    pub fn is_overdue(&self, own: ConfigurationVersion, now: Moment, limit: Duration) -> bool {
+    pub fn is_overdue(&self, own: ConfigurationVersion, now: Timestamp, limit: Duration) -> bool {
         let mut newer = self.first_reports.iter();
         let oldest = newer.find(|(version, _)| *version > own);
         self.is_reported(now) && oldest.is_some_and(|(_, since)| now.since(*since) > limit)
     }
 
-    fn is_reported(&self, now: Moment) -> bool {
+    fn is_reported(&self, now: Timestamp) -> bool {
         now.since(self.last_report) < REPORT_VALIDITY
     }
 }
--- a/src/coordination/vm_pace.rs
+++ b/src/coordination/vm_pace.rs
@@ -7,7 +7,7 @@
 //! Load pattern answered: all VMs come back from a loss of power at once, each upstream works at half its pace for some
 //! seconds, and the clients of a second come back with those of the next.
 
-use crate::state::moment::Moment;
+use crate::state::timestamp::Timestamp;
 use std::time::Duration;
 
 /// Times the usual pace up to which a VM counts as usual: a figure that says how long work takes varies by a few tens of
@@ -76,8 +76,8 @@
 
 #[derive(Clone, Copy, Debug)]
 struct SlowMoment {
-    since: Moment,
-    told_at: Moment,
+    since: Timestamp,
+    told_at: Timestamp,
     /// The best pace told meanwhile.
     least: u16,
 }
@@ -112,7 +112,7 @@
     }
 
     /// Takes in a figure, in percent of the best pace.
-    pub fn note(&mut self, percent: u16, now: Moment) -> Pace {
+    pub fn note(&mut self, percent: u16, now: Timestamp) -> Pace {
         let usual = self.usual.unwrap_or(percent);
         if is_slower(percent, usual) {
             self.note_slow(percent, usual, now);
@@ -126,7 +126,7 @@
         }
     }
 
-    fn note_usual(&mut self, percent: u16, now: Moment) {
+    fn note_usual(&mut self, percent: u16, now: Timestamp) {
         self.usual = Some(percent);
         let ended = self.slow.take();
         if let Some(slow) = ended.filter(|slow| now.since(slow.told_at) <= GAP) {
@@ -136,7 +136,7 @@
         }
     }
 
-    fn note_slow(&mut self, percent: u16, usual: u16, now: Moment) {
+    fn note_slow(&mut self, percent: u16, usual: u16, now: Timestamp) {
         self.usual = Some(usual);
         let known = self.slow.filter(|slow| now.since(slow.told_at) <= GAP);
         let slow = known.unwrap_or(SlowMoment {
--- a/src/local_mesh/ready.rs
+++ b/src/local_mesh/ready.rs
@@ -3,7 +3,7 @@
 use crate::{
     local_mesh::{LOCAL_TOKEN, LocalMesh},
     protocol::operator_views::NodeStatus,
-    state::moment::Moment,
+    state::timestamp::Timestamp,
     timers::TimerService,
 };
 use std::{net::SocketAddr, time::Duration};
@@ -43,7 +43,7 @@
     let ticks = timers.every(ASK_PERIOD);
     let addresses = mesh.operator_addresses();
     let mut ready = false;
-    while !ready && timers.now().since(Moment::default()) < timeout {
+    while !ready && timers.now().since(Timestamp::default()) < timeout {
         ready = addresses
             .iter()
             .all(|address| ask_status(*address).is_some_and(|status| holds(&status)));
--- a/src/proxy/core.rs
+++ b/src/proxy/core.rs
@@ -22,12 +22,12 @@
         class_bytes::ClassBytes,
         class_counts::ClassCounts,
         crash_suspects::CrashSuspects,
-        moment::Moment,
         names::{ClassName, ServiceName},
         placement_view::{NodeRecord, StoredRecord},
         quarantine::Quarantine,
         request_digest::RequestDigest,
         routing_table::{RouteIndex, RoutingTable},
+        timestamp::Timestamp,
     },
     timers::TimerService,
     transport::outgoing::OutgoingConnections,
@@ -75,13 +75,13 @@
     /// Requests of clients in progress.
     pub in_progress: Cell<usize>,
     /// When the node was told to stop.
-    pub stopping_since: Cell<Option<Moment>>,
+    pub stopping_since: Cell<Option<Timestamp>>,
     /// Counts since the start.
     pub counters: ProxyCounters,
     /// Writes the lines of the log.
     pub lines: LineWriter,
     /// When the node started.
-    pub started: Moment,
+    pub started: Timestamp,
     /// What became of the requests of each class.
     pub classes: RefCell<BTreeMap<ClassName, ClassCounts>>,
     /// Usual bytes of a request and its answer, by class.
@@ -101,7 +101,7 @@
     /// Wakes whoever waits for a newer routing table.
     pub table_taken: Notify,
     /// Until when this node reads the store in place of one that can't.
-    reads_until: Cell<Moment>,
+    reads_until: Cell<Timestamp>,
     /// Crashes of upstreams that this node counts.
     pub suspects: RefCell<CrashSuspects>,
     /// Requests that are kept from upstreams.
--- a/src/proxy/core/duties.rs
+++ b/src/proxy/core/duties.rs
@@ -11,8 +11,8 @@
     protocol::store::StoreTopic,
     proxy::core::ProxyCore,
     state::{
-        moment::Moment,
         placement_view::{NodeRecord, NodeView},
+        timestamp::Timestamp,
     },
 };
 use std::{net::SocketAddr, time::Duration};
@@ -119,6 +119,6 @@
 }
 
 /// Whether a node can be reached as far as is known.
-fn is_reachable(view: &NodeView, now: Moment) -> bool {
+fn is_reachable(view: &NodeView, now: Timestamp) -> bool {
     view.failures == 0 && view.paused_until <= now
 }
--- a/src/proxy/entry.rs
+++ b/src/proxy/entry.rs
@@ -19,10 +19,10 @@
         reply::{ClientEnd, build_reply},
     },
     state::{
-        moment::Moment,
         names::{ClassName, ServiceName},
         request_digest::RequestDigest,
         routing_table::Route,
+        timestamp::Timestamp,
     },
     transport::callers::{CallerHandler, CallerLimits, CallerReply, CallerRequest},
 };
@@ -148,7 +148,7 @@
 }
 
 /// Whether a request taken now might not have ended before the node is killed.
-fn stops_soon(core: &ProxyCore, now: Moment) -> bool {
+fn stops_soon(core: &ProxyCore, now: Timestamp) -> bool {
     let since = core.stopping_since.get();
     since.is_some_and(|since| now.since(since) > core.bounds().grace.mul_f64(ACCEPTED_SHARE))
 }
--- a/src/proxy/entry/attempt.rs
+++ b/src/proxy/entry/attempt.rs
@@ -12,7 +12,7 @@
         executing::{Executed, execute},
         peers::send_hop,
     },
-    state::{ablation::Mechanism, moment::Moment, placement_view::NodeView},
+    state::{ablation::Mechanism, placement_view::NodeView, timestamp::Timestamp},
     transport::{callers::CallerRequest, outgoing::SendError},
 };
 use std::{cell::Cell, net::SocketAddr, rc::Rc, time::Duration};
@@ -97,7 +97,7 @@
     attempts: Rc<RequestAttempts>,
     to: SocketAddr,
     within: Duration,
-    sent: Moment,
+    sent: Timestamp,
     /// Age of what was known of the node's load.
     known_age: Option<Duration>,
     ended: Cell<bool>,
@@ -208,7 +208,7 @@
 }
 
 /// A node whose upstream takes no work at all is left out for a while.
-fn pause_after_refusal(view: &mut NodeView, reason: RefusalReason, now: Moment) {
+fn pause_after_refusal(view: &mut NodeView, reason: RefusalReason, now: Timestamp) {
     if !Mechanism::LeavingOut.is_off() && reason.is_of_node() {
         view.paused_until = now + REFUSAL_PAUSE;
     }
--- a/src/proxy/entry/carrier.rs
+++ b/src/proxy/entry/carrier.rs
@@ -24,10 +24,10 @@
     },
     state::{
         ablation::Mechanism,
-        moment::Moment,
         names::{ClassName, ServiceName},
         request_digest::RequestDigest,
         routing_table::Route,
+        timestamp::Timestamp,
     },
     transport::callers::CallerRequest,
 };
@@ -50,9 +50,9 @@
     /// The service picked for it.
     pub service: ServiceName,
     /// When it came.
-    pub arrived: Moment,
+    pub arrived: Timestamp,
     /// When its client or its route stops waiting.
-    pub deadline: Moment,
+    pub deadline: Timestamp,
 }
 
 /// Carries one request.
--- a/src/proxy/entry/request_line.rs
+++ b/src/proxy/entry/request_line.rs
@@ -8,10 +8,10 @@
         reply::ClientEnd,
     },
     state::{
-        moment::Moment,
         names::{ClassName, ServiceName},
         request_digest::RequestDigest,
         routing_table::Route,
+        timestamp::Timestamp,
     },
     transport::callers::CallerRequest,
 };
@@ -23,7 +23,7 @@
     core: Rc<ProxyCore>,
     request: String,
     digest: RequestDigest,
-    arrived: Moment,
+    arrived: Timestamp,
     version: u64,
     service: Option<ServiceName>,
     class: Option<ClassName>,
--- a/src/proxy/events/lines.rs
+++ b/src/proxy/events/lines.rs
@@ -6,7 +6,7 @@
 use crate::{
     options::proxy_settings::LineRules,
     proxy::events::{ProxyEvent, Weight},
-    state::{moment::Moment, names::NodeName, rate_limit::RateLimit},
+    state::{names::NodeName, rate_limit::RateLimit, timestamp::Timestamp},
 };
 use serde::Serialize;
 use std::{
@@ -41,7 +41,7 @@
 /// Counts lines and leaves out those that the bounds do not hold.
 pub struct LineWriter {
     node: NodeName,
-    started: Moment,
+    started: Timestamp,
     rules: LineRules,
     next: Cell<u64>,
     telling: RefCell<RateLimit>,
@@ -53,7 +53,7 @@
 impl LineWriter {
     /// A writer of the lines of a node that starts now.
     #[must_use]
-    pub fn new(node: NodeName, rules: LineRules, started: Moment) -> Self {
+    pub fn new(node: NodeName, rules: LineRules, started: Timestamp) -> Self {
         Self {
             node,
             started,
@@ -67,13 +67,13 @@
     }
 
     /// Writes a line if the bounds hold it.
-    pub fn write(&self, event: &ProxyEvent, now: Moment) {
+    pub fn write(&self, event: &ProxyEvent, now: Timestamp) {
         self.write_as(event.weight(), event, now);
     }
 
     /// Writes a line with another weight than its own: what led to a failure tells as much as the
     /// failure. Telling lines left out are counted, and told with the next one.
-    pub fn write_as(&self, weight: Weight, event: &ProxyEvent, now: Moment) {
+    pub fn write_as(&self, weight: Weight, event: &ProxyEvent, now: Timestamp) {
         if !self.is_sampled(weight, event) {
             return;
         }
@@ -91,7 +91,7 @@
     }
 
     /// Takes one line out of the bounds, if they hold it.
-    pub fn take(&self, weight: Weight, now: Moment) -> bool {
+    pub fn take(&self, weight: Weight, now: Timestamp) -> bool {
         match weight {
             Weight::Telling | Weight::Late => self.telling.borrow_mut().take(now),
             Weight::Ordinary => self.ordinary.borrow_mut().take(now),
@@ -129,7 +129,7 @@
         kept.front().map_or(self.next.get(), |(number, _)| *number)
     }
 
-    fn emit(&self, weight: Weight, event: &ProxyEvent, now: Moment) {
+    fn emit(&self, weight: Weight, event: &ProxyEvent, now: Timestamp) {
         let (number, name) = event.describe();
         let seq = self.next.get();
         self.next.set(seq + 1);
--- a/src/proxy/executing.rs
+++ b/src/proxy/executing.rs
@@ -19,7 +19,7 @@
         repeats::{has_room_for_calls, take_calls},
         stop::takes_work,
     },
-    state::{moment::Moment, request_digest::RequestDigest},
+    state::{request_digest::RequestDigest, timestamp::Timestamp},
     transport::callers::CallerRequest,
 };
 use attempt_line::AttemptLine;
@@ -109,7 +109,7 @@
     }
 }
 
-fn offer(core: &ProxyCore, hop: &HopRequest, arrived: Moment) -> SlotDecision {
+fn offer(core: &ProxyCore, hop: &HopRequest, arrived: Timestamp) -> SlotDecision {
     let now = core.timers.now();
     let spent = now.since(arrived);
     let request = SlotRequest {
--- a/src/proxy/executing/attempt_line.rs
+++ b/src/proxy/executing/attempt_line.rs
@@ -7,7 +7,7 @@
         events::{LoggedEnd, ProxyEvent, in_millis},
         executing::Executed,
     },
-    state::{moment::Moment, names::ClassName, request_digest::RequestDigest},
+    state::{names::ClassName, request_digest::RequestDigest, timestamp::Timestamp},
     transport::callers::CallerRequest,
 };
 use std::{net::SocketAddr, rc::Rc, time::Duration};
@@ -20,7 +20,7 @@
     digest: RequestDigest,
     from: SocketAddr,
     class: ClassName,
-    arrived: Moment,
+    arrived: Timestamp,
     /// Pace at which it started, or was last decided about.
     pace_percent: u16,
     pace_age: Option<Duration>,
--- a/src/proxy/executing/pace.rs
+++ b/src/proxy/executing/pace.rs
@@ -12,7 +12,7 @@
             slots::apply,
         },
     },
-    state::{ablation::Mechanism, moment::Moment, rate_limit::RateLimit},
+    state::{ablation::Mechanism, rate_limit::RateLimit, timestamp::Timestamp},
     transport::outgoing::Reuse,
 };
 use http::HeaderMap;
@@ -34,7 +34,7 @@
 /// What is known of the pace, and how.
 pub struct PaceKnowledge {
     /// When it was last told; never by an upstream that does not tell its load.
-    told_at: Cell<Option<Moment>>,
+    told_at: Cell<Option<Timestamp>>,
     history: Cell<PaceHistory>,
     asking: RefCell<Option<flume::Receiver<()>>>,
     watching: Cell<bool>,
@@ -69,7 +69,7 @@
     }
 
     /// Takes one question out of what operators let measuring cost; false if it is spent.
-    pub fn take_question(&self, now: Moment) -> bool {
+    pub fn take_question(&self, now: Timestamp) -> bool {
         let mut budget = self.budget.get();
         let granted = budget.take(now);
         self.budget.set(budget);
@@ -77,7 +77,7 @@
     }
 
     /// Notes that a question found no answer. A pace that was never told is not asked for.
-    pub fn note_unanswered(&self, now: Moment) {
+    pub fn note_unanswered(&self, now: Timestamp) {
         if self.told_at.get().is_some() {
             self.told_at.set(Some(now));
         }
@@ -85,11 +85,11 @@
 
     /// Time since it was told.
     #[must_use]
-    pub fn age(&self, now: Moment) -> Option<Duration> {
+    pub fn age(&self, now: Timestamp) -> Option<Duration> {
         self.told_at.get().map(|at| now.since(at))
     }
 
-    fn is_stale(&self, now: Moment) -> bool {
+    fn is_stale(&self, now: Timestamp) -> bool {
         self.told_at.get().is_some_and(|at| now.since(at) > FRESH)
     }
 
--- a/src/proxy/executing/slots.rs
+++ b/src/proxy/executing/slots.rs
@@ -4,8 +4,8 @@
     coordination::slot_queue::{SlotAction, SlotNumber, SlotQueue},
     proxy::{core::ProxyCore, executing::pace::PaceKnowledge},
     state::{
-        ablation::Mechanism, failure_share::FailureShare, moment::Moment, names::ClassName,
-        placement_view::NodeLoad, service_times::ServiceTimes,
+        ablation::Mechanism, failure_share::FailureShare, names::ClassName,
+        placement_view::NodeLoad, service_times::ServiceTimes, timestamp::Timestamp,
     },
 };
 use flume::Sender;
@@ -28,19 +28,19 @@
     pub(super) queue: RefCell<SlotQueue>,
     pub(super) pace: PaceKnowledge,
     /// When the upstream was last asked, and so told how long it stays cold.
-    pub(super) warmth_told_at: Cell<Option<Moment>>,
+    pub(super) warmth_told_at: Cell<Option<Timestamp>>,
     /// Not tried before: connects to the upstream failed.
-    pub(super) paused_until: Cell<Moment>,
+    pub(super) paused_until: Cell<Timestamp>,
     times: RefCell<ServiceTimes>,
     failures: Cell<FailureShare>,
     waiting: RefCell<HashMap<SlotNumber, Sender<bool>>>,
-    expiry_armed: Cell<Option<Moment>>,
+    expiry_armed: Cell<Option<Timestamp>>,
 }
 
 impl Slots {
     /// No slot in use; at most that many questions a second for the upstream's load.
     #[must_use]
-    pub fn new(probes_per_second: f64, now: Moment) -> Self {
+    pub fn new(probes_per_second: f64, now: Timestamp) -> Self {
         Self {
             queue: RefCell::new(SlotQueue::new(FIRST_LIMIT, now)),
             pace: PaceKnowledge::new(probes_per_second),
@@ -55,7 +55,7 @@
 
     /// Forgets what holds for one run of the upstream only.
     pub fn restart(&self) {
-        self.paused_until.set(Moment::default());
+        self.paused_until.set(Timestamp::default());
         self.pace.restart();
         self.warmth_told_at.set(None);
         self.queue.borrow_mut().begin_run();
@@ -67,7 +67,7 @@
     }
 
     /// Notes that the upstream did not answer a question: it is asked again after the usual pause.
-    pub(super) fn note_unanswered(&self, now: Moment) {
+    pub(super) fn note_unanswered(&self, now: Timestamp) {
         self.pace.note_unanswered(now);
         self.warmth_told_at.set(Some(now));
     }
--- a/src/proxy/following/returning.rs
+++ b/src/proxy/following/returning.rs
@@ -14,10 +14,10 @@
         state_messages::spread,
     },
     state::{
-        moment::Moment,
         placement_view::{NodeRecord, StoredRecord},
         request_digest::RequestDigest,
         store_position::StorePosition,
+        timestamp::Timestamp,
     },
 };
 use flume::Sender;
@@ -48,7 +48,7 @@
 pub(super) struct CopyReads {
     /// Place up to which this node has read the topic.
     read_up_to: Cell<u64>,
-    second_due: Cell<Option<Moment>>,
+    second_due: Cell<Option<Timestamp>>,
 }
 
 impl CopyReads {
@@ -58,12 +58,12 @@
     }
 
     /// Whether all records are to be read again now.
-    pub(super) fn is_second_due(&self, now: Moment) -> bool {
+    pub(super) fn is_second_due(&self, now: Timestamp) -> bool {
         self.second_due.get().is_some_and(|due| due <= now)
     }
 
     /// Records a read up to the place `next`; `whole` if it was of the newest records of all keys.
-    pub(super) fn note_read(&self, next: u64, whole: bool, now: Moment) -> TopicRead {
+    pub(super) fn note_read(&self, next: u64, whole: bool, now: Timestamp) -> TopicRead {
         let before = self.read_up_to.replace(next);
         if !whole {
             return TopicRead::Continued;
--- a/src/proxy/repeats.rs
+++ b/src/proxy/repeats.rs
@@ -4,8 +4,8 @@
     coordination::repeat_budget::{RepeatBudget, RepeatShare},
     proxy::core::ProxyCore,
     state::{
-        moment::Moment,
         names::{ClassName, ServiceName},
+        timestamp::Timestamp,
     },
 };
 use std::collections::HashMap;
@@ -51,7 +51,7 @@
 
 /// The calls that a repeated run makes again at each service, at the most, and this node's part of the budgets now.
 struct ExpectedCalls {
-    now: Moment,
+    now: Timestamp,
     share: RepeatShare,
     amounts: Vec<(ServiceName, f64)>,
 }
@@ -70,7 +70,7 @@
     fn check_each(
         &self,
         budgets: &mut HashMap<ServiceName, RepeatBudget>,
-        check: impl Fn(&mut RepeatBudget, Moment, RepeatShare, f64) -> bool,
+        check: impl Fn(&mut RepeatBudget, Timestamp, RepeatShare, f64) -> bool,
     ) -> bool {
         self.amounts.iter().all(|(service, amount)| {
             let budget = budgets.entry(service.clone()).or_default();
--- a/src/proxy/stop.rs
+++ b/src/proxy/stop.rs
@@ -5,7 +5,7 @@
         core::ProxyCore,
         events::{ProxyEvent, in_millis},
     },
-    state::moment::Moment,
+    state::timestamp::Timestamp,
 };
 use std::{rc::Rc, time::Duration};
 
@@ -60,7 +60,7 @@
     });
 }
 
-fn may_end(core: &ProxyCore, since: Moment) -> bool {
+fn may_end(core: &ProxyCore, since: Timestamp) -> bool {
     let gone = core.timers.now().since(since) >= CLIENTS_LEAVE;
     gone && core.in_progress.get() == 0 && core.slots.load().running == 0
 }
--- a/src/proxy/table_fetching.rs
+++ b/src/proxy/table_fetching.rs
@@ -15,7 +15,7 @@
         state_messages::ask_state,
         table_offering::{offer_table, pass_on},
     },
-    state::{configuration::ConfigurationVersion, moment::Moment, table_change::ChangeError},
+    state::{configuration::ConfigurationVersion, table_change::ChangeError, timestamp::Timestamp},
 };
 use std::{net::SocketAddr, rc::Rc};
 use tokio::task::spawn_local;
@@ -46,7 +46,7 @@
     core: &ProxyCore,
     from: SocketAddr,
     version: ConfigurationVersion,
-) -> (ConfigurationVersion, Moment) {
+) -> (ConfigurationVersion, Timestamp) {
     let mut directory = core.directory.borrow_mut();
     directory.note_version(from, version);
     let (own, now) = (directory.version(), core.timers.now());
--- a/src/state/crash_suspects.rs
+++ b/src/state/crash_suspects.rs
@@ -4,7 +4,9 @@
 //! upstream that runs it is at every one of these crashes and is never answered; any other one is answered elsewhere or
 //! isn't there the next time.
 
-use crate::state::{moment::Moment, request_digest::RequestDigest, run_identity::RunIdentity};
+use crate::state::{
+    request_digest::RequestDigest, run_identity::RunIdentity, timestamp::Timestamp,
+};
 use std::{
     collections::{BTreeMap, BTreeSet},
     time::Duration,
@@ -22,7 +24,7 @@
 struct Suspect {
     /// Each run once, however often and by whomever its crash is told.
     runs: BTreeSet<RunIdentity>,
-    last: Moment,
+    last: Timestamp,
 }
 
 /// Requests that were at upstreams when these crashed, and were not answered since.
@@ -33,7 +35,7 @@
 
 impl CrashSuspects {
     /// Takes in that a run crashed while it ran a request; returns the crashed runs of that request so far.
-    pub fn note_crash(&mut self, digest: RequestDigest, run: RunIdentity, now: Moment) -> usize {
+    pub fn note_crash(&mut self, digest: RequestDigest, run: RunIdentity, now: Timestamp) -> usize {
         self.suspects
             .retain(|_, suspect| now.since(suspect.last) <= REMEMBERED);
         let suspect = self.suspects.entry(digest).or_default();
--- a/src/state/placement_view.rs
+++ b/src/state/placement_view.rs
@@ -2,9 +2,9 @@
 
 use crate::state::{
     ablation::Mechanism,
-    moment::Moment,
     names::{AvailabilityZoneName, ClassName, NodeName, ServiceName},
     run_identity::RunIdentity,
+    timestamp::Timestamp,
 };
 use serde::{Deserialize, Serialize};
 use std::{collections::HashMap, net::SocketAddr, time::Duration};
@@ -75,15 +75,15 @@
     /// Own requests that are out there.
     pub outstanding: u16,
     /// The last load told, own requests included, and when.
-    pub load: Option<(NodeLoad, Moment)>,
+    pub load: Option<(NodeLoad, Timestamp)>,
     /// Not used before; set when the node could not be reached or refused for longer.
-    pub paused_until: Moment,
+    pub paused_until: Timestamp,
     /// Failures to reach it in a row.
     pub failures: u32,
     /// When the oldest request was sent there since which nothing was heard of it; none if nothing is awaited.
-    pub silent_since: Option<Moment>,
+    pub silent_since: Option<Timestamp>,
     /// When the node last had no slot for a class, and in which time a request would have ended there.
-    refusals: HashMap<ClassName, (Moment, Duration)>,
+    refusals: HashMap<ClassName, (Timestamp, Duration)>,
 }
 
 impl NodeView {
@@ -95,7 +95,7 @@
             revision: stored.revision,
             outstanding: 0,
             load: None,
-            paused_until: Moment::default(),
+            paused_until: Timestamp::default(),
             failures: 0,
             silent_since: None,
             refusals: HashMap::new(),
@@ -103,13 +103,13 @@
     }
 
     /// Notes that the node had no slot at once for a request of a class, which would have ended there in `finish`.
-    pub fn note_refused(&mut self, class: &ClassName, finish: Duration, now: Moment) {
+    pub fn note_refused(&mut self, class: &ClassName, finish: Duration, now: Timestamp) {
         self.refusals.insert(class.clone(), (now, finish));
     }
 
     /// Time in which a request of a class would end there, if it is known from a refusal that still holds.
     #[must_use]
-    pub fn told_finish(&self, class: &ClassName, now: Moment) -> Option<Duration> {
+    pub fn told_finish(&self, class: &ClassName, now: Timestamp) -> Option<Duration> {
         if Mechanism::ToldRefusals.is_off() {
             return None;
         }
@@ -119,7 +119,7 @@
     }
 
     /// Notes that a request is sent there.
-    pub fn note_sent(&mut self, now: Moment) {
+    pub fn note_sent(&mut self, now: Timestamp) {
         self.outstanding += 1;
         if self.silent_since.is_none() {
             self.silent_since = Some(now);
@@ -136,13 +136,13 @@
 
     /// How long something has been awaited without any word.
     #[must_use]
-    pub fn silence(&self, now: Moment) -> Duration {
+    pub fn silence(&self, now: Timestamp) -> Duration {
         self.silent_since
             .map_or(Duration::ZERO, |since| now.since(since))
     }
 
     /// Notes that the node could not be reached; returns the pause until the next try.
-    pub fn note_unreachable(&mut self, now: Moment) -> Duration {
+    pub fn note_unreachable(&mut self, now: Timestamp) -> Duration {
         let doubled = FIRST_PAUSE * 2_u32.saturating_pow(self.failures.min(8));
         self.failures += 1;
         let pause = doubled.min(LONGEST_PAUSE);
@@ -151,7 +151,7 @@
     }
 
     /// Notes that the node answered.
-    pub fn note_heard(&mut self, now: Moment) {
+    pub fn note_heard(&mut self, now: Timestamp) {
         self.note_reached();
         self.silent_since = (self.outstanding > 1).then_some(now);
     }
@@ -159,6 +159,6 @@
     /// Forgets that it could not be reached.
     pub fn note_reached(&mut self) {
         self.failures = 0;
-        self.paused_until = Moment::default();
+        self.paused_until = Timestamp::default();
     }
 }
--- a/src/state/quarantine.rs
+++ b/src/state/quarantine.rs
@@ -1,6 +1,6 @@
 //! Requests that are kept from all upstreams, since they crash each one that runs them.
 
-use crate::state::{moment::Moment, request_digest::RequestDigest};
+use crate::state::{request_digest::RequestDigest, timestamp::Timestamp};
 use std::{
     collections::{BTreeMap, BTreeSet},
     time::Duration,
@@ -37,7 +37,7 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Quarantined {
-    until: Moment,
+    until: Timestamp,
     source: QuarantineSource,
 }
 
@@ -46,12 +46,12 @@
 pub struct Quarantine {
     requests: BTreeMap<RequestDigest, Quarantined>,
     /// When requests were let go before their time.
-    lifted: BTreeMap<RequestDigest, Moment>,
+    lifted: BTreeMap<RequestDigest, Timestamp>,
 }
 
 impl Quarantine {
     /// Puts a request into quarantine; true if it was not in it.
-    pub fn put(&mut self, digest: RequestDigest, source: QuarantineSource, now: Moment) -> bool {
+    pub fn put(&mut self, digest: RequestDigest, source: QuarantineSource, now: Timestamp) -> bool {
         self.forget_past(now);
         let is_lifted = source == QuarantineSource::Told && self.lifted.contains_key(&digest);
         if is_lifted || self.requests.contains_key(&digest) {
@@ -66,7 +66,7 @@
     }
 
     /// Ends the quarantine of a request; returns who had found it out, if it was in it.
-    pub fn lift(&mut self, digest: RequestDigest, now: Moment) -> Option<QuarantineSource> {
+    pub fn lift(&mut self, digest: RequestDigest, now: Timestamp) -> Option<QuarantineSource> {
         self.forget_past(now);
         self.lifted.insert(digest, now);
         self.requests.remove(&digest).map(|known| known.source)
@@ -74,14 +74,14 @@
 
     /// How much longer a request is in quarantine; none if it is not.
     #[must_use]
-    pub fn time_left(&self, digest: RequestDigest, now: Moment) -> Option<Duration> {
+    pub fn time_left(&self, digest: RequestDigest, now: Timestamp) -> Option<Duration> {
         let quarantined = self.requests.get(&digest)?;
         (now < quarantined.until).then(|| quarantined.until.since(now))
     }
 
     /// Requests in quarantine.
     #[must_use]
-    pub fn len(&self, now: Moment) -> usize {
+    pub fn len(&self, now: Timestamp) -> usize {
         let requests = self.requests.values();
         requests
             .filter(|quarantined| now < quarantined.until)
@@ -90,7 +90,11 @@
 
     /// Requests of which the store holds something else than what is known here; it holds `stored` in quarantine.
     #[must_use]
-    pub fn list_unlike(&self, stored: &BTreeSet<RequestDigest>, now: Moment) -> Vec<RequestDigest> {
+    pub fn list_unlike(
+        &self,
+        stored: &BTreeSet<RequestDigest>,
+        now: Timestamp,
+    ) -> Vec<RequestDigest> {
         let kept = self.requests.iter();
         let kept = kept.filter(|(digest, known)| now < known.until && !stored.contains(*digest));
         let lifted = self.lifted.keys().filter(|digest| stored.contains(*digest));
@@ -99,7 +103,7 @@
             .collect()
     }
 
-    fn forget_past(&mut self, now: Moment) {
+    fn forget_past(&mut self, now: Timestamp) {
         self.requests.retain(|_, known| now < known.until);
         self.lifted.retain(|_, at| now.since(*at) < LIFT_HOLDS);
     }
--- a/src/state/rate_limit.rs
+++ b/src/state/rate_limit.rs
@@ -1,6 +1,6 @@
 //! A bound on how often something may happen: tokens earned by time, up to a burst.
 
-use crate::state::moment::Moment;
+use crate::state::timestamp::Timestamp;
 
 /// Bounds events to a rate.
 #[derive(Clone, Copy, Debug)]
@@ -8,7 +8,7 @@
     per_second: f64,
     burst: f64,
     tokens: f64,
-    since: Moment,
+    since: Timestamp,
 }
 
 impl RateLimit {
@@ -19,12 +19,12 @@
             per_second,
             burst,
             tokens: burst,
-            since: Moment::default(),
+            since: Timestamp::default(),
         }
     }
 
     /// Takes a token if there is one.
-    pub fn take(&mut self, now: Moment) -> bool {
+    pub fn take(&mut self, now: Timestamp) -> bool {
         let earned = now.since(self.since).as_secs_f64() * self.per_second;
         self.tokens = (self.tokens + earned).min(self.burst);
         self.since = self.since.max(now);
--- a/src/state/moment.rs
+++ b/src/state/timestamp.rs
@@ -12,9 +12,9 @@
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
-pub struct Moment(pub u64);
+pub struct Timestamp(pub u64);
 
-impl Moment {
+impl Timestamp {
     /// Time from `earlier` to `self`; zero if `earlier` is the later one.
     #[must_use]
     pub fn since(self, earlier: Self) -> Duration {
@@ -22,7 +22,7 @@
     }
 }
 
-impl Add<Duration> for Moment {
+impl Add<Duration> for Timestamp {
     type Output = Self;
 
     fn add(self, span: Duration) -> Self {
@@ -31,7 +31,7 @@
     }
 }
 
-impl Sub<Duration> for Moment {
+impl Sub<Duration> for Timestamp {
     type Output = Self;
 
     fn sub(self, span: Duration) -> Self {
--- a/src/timers.rs
+++ b/src/timers.rs
@@ -2,7 +2,7 @@
 //!
 //! Subscribers get a [`flume::Receiver`]; dropping it ends the subscription.
 
-use crate::state::moment::Moment;
+use crate::state::timestamp::Timestamp;
 use flume::{Receiver, Sender};
 use std::{
     cmp::Reverse,
@@ -27,15 +27,15 @@
 /// Where the time comes from.
 enum Clock {
     System { start: Instant },
-    Fake { now: Moment },
+    Fake { now: Timestamp },
 }
 
 struct Subscription {
-    due: Moment,
+    due: Timestamp,
     /// Keeps subscriptions that are due at the same moment in the order of their making.
     number: u64,
     period: Option<Duration>,
-    tx: Sender<Moment>,
+    tx: Sender<Timestamp>,
 }
 
 impl PartialEq for Subscription {
@@ -66,14 +66,14 @@
 }
 
 impl Shared {
-    fn now(&self) -> Moment {
+    fn now(&self) -> Timestamp {
         match &self.clock {
-            Clock::System { start } => Moment::default() + start.elapsed(),
+            Clock::System { start } => Timestamp::default() + start.elapsed(),
             Clock::Fake { now } => *now,
         }
     }
 
-    fn fire_due(&mut self, now: Moment) {
+    fn fire_due(&mut self, now: Timestamp) {
         while self
             .queue
             .peek()
@@ -122,7 +122,7 @@
     #[must_use]
     pub fn fake() -> Self {
         Self::with_clock(Clock::Fake {
-            now: Moment::default(),
+            now: Timestamp::default(),
         })
     }
 
@@ -143,7 +143,7 @@
 
     /// The present moment.
     #[must_use]
-    pub fn now(&self) -> Moment {
+    pub fn now(&self) -> Timestamp {
         self.lock().now()
     }
 
@@ -160,13 +160,13 @@
 
     /// One message after `span`.
     #[must_use]
-    pub fn after(&self, span: Duration) -> Receiver<Moment> {
+    pub fn after(&self, span: Duration) -> Receiver<Timestamp> {
         self.subscribe(span, None)
     }
 
     /// A message every `period`, the first after one period. Ticks not taken in time are skipped.
     #[must_use]
-    pub fn every(&self, period: Duration) -> Receiver<Moment> {
+    pub fn every(&self, period: Duration) -> Receiver<Timestamp> {
         self.subscribe(period, Some(period))
     }
 
@@ -186,7 +186,7 @@
         self.inner.earlier.notify_all();
     }
 
-    fn subscribe(&self, span: Duration, period: Option<Duration>) -> Receiver<Moment> {
+    fn subscribe(&self, span: Duration, period: Option<Duration>) -> Receiver<Timestamp> {
         let (tx, rx) = flume::bounded(1);
         let mut shared = self.lock();
         let due = shared.now() + span;
@@ -250,7 +250,7 @@
         timers.advance(Duration::from_millis(9));
         assert!(rx.try_recv().is_err());
         timers.advance(Duration::from_millis(1));
-        assert_eq!(rx.try_recv(), Ok(Moment(10_000)));
+        assert_eq!(rx.try_recv(), Ok(Timestamp(10_000)));
         assert!(rx.is_disconnected());
     }
 
--- a/src/transport/callers/body.rs
+++ b/src/transport/callers/body.rs
@@ -6,7 +6,7 @@
 use hyper::body::{Body, Incoming};
 use thiserror::Error;
 
-use crate::state::moment::Moment;
+use crate::state::timestamp::Timestamp;
 
 /// Why a body could not be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
@@ -26,7 +26,7 @@
 pub async fn read_body(
     incoming: Incoming,
     limit: usize,
-    timeout: Receiver<Moment>,
+    timeout: Receiver<Timestamp>,
 ) -> Result<Bytes, BodyError> {
     let announced = incoming.size_hint().lower();
     if usize::try_from(announced).map_or(true, |length| length > limit) {
--- a/src/transport/outgoing.rs
+++ b/src/transport/outgoing.rs
@@ -4,7 +4,7 @@
 //! that of the next request. Dropping the future of a request closes its connection, which is how a
 //! cancel reaches the other side.
 
-use crate::{state::moment::Moment, timers::TimerService};
+use crate::{state::timestamp::Timestamp, timers::TimerService};
 use bytes::{Bytes, BytesMut};
 use futures::{
     FutureExt,
@@ -125,7 +125,7 @@
 
 struct Idle {
     connection: Connection,
-    since: Moment,
+    since: Timestamp,
     /// What the other side told in `Keep-Alive`.
     allowed: Option<Duration>,
 }
--- a/tests/integration/crash_counting.rs
+++ b/tests/integration/crash_counting.rs
@@ -10,10 +10,10 @@
     state::{
         answered_requests::AnsweredRequests,
         crash_suspects::{CRASHES_TO_QUARANTINE, CrashSuspects},
-        moment::Moment,
         quarantine::{QUARANTINE, Quarantine, QuarantineSource},
         request_digest::RequestDigest,
         run_identity::RunIdentity,
+        timestamp::Timestamp,
     },
 };
 use std::{collections::BTreeSet, net::SocketAddr, rc::Rc, time::Duration};
@@ -67,11 +67,11 @@
             let mut seen = BTreeSet::new();
             for (number, other) in steps {
                 if *other {
-                    suspects.note_crash(digest(2), run(*number), Moment(0));
+                    suspects.note_crash(digest(2), run(*number), Timestamp(0));
                     continue;
                 }
                 seen.insert(*number);
-                let crashes = suspects.note_crash(digest(1), run(*number), Moment(0));
+                let crashes = suspects.note_crash(digest(1), run(*number), Timestamp(0));
                 assert_eq!(crashes, seen.len());
             }
         });
@@ -81,10 +81,10 @@
 fn answered_request_counts_anew() {
     let mut suspects = CrashSuspects::default();
     for number in 1..3 {
-        suspects.note_crash(digest(1), run(number), Moment(0));
+        suspects.note_crash(digest(1), run(number), Timestamp(0));
     }
     suspects.note_answered(digest(1));
-    assert_eq!(suspects.note_crash(digest(1), run(3), Moment(0)), 1);
+    assert_eq!(suspects.note_crash(digest(1), run(3), Timestamp(0)), 1);
 }
 
 /// After its quarantine a request is let to upstreams again. If it still crashes them, the first one is enough.
@@ -92,9 +92,9 @@
 fn crashes_outlast_the_quarantine() {
     let mut suspects = CrashSuspects::default();
     for number in 1..=3 {
-        suspects.note_crash(digest(1), run(number), Moment(0));
+        suspects.note_crash(digest(1), run(number), Timestamp(0));
     }
-    let later = Moment(0) + QUARANTINE + Duration::from_mins(1);
+    let later = Timestamp(0) + QUARANTINE + Duration::from_mins(1);
     assert!(suspects.note_crash(digest(1), run(4), later) > CRASHES_TO_QUARANTINE);
 }
 
@@ -103,12 +103,12 @@
 fn suspects_are_bounded() {
     let mut suspects = CrashSuspects::default();
     for number in 0..20_000 {
-        suspects.note_crash(digest(number), run(1), Moment(number));
+        suspects.note_crash(digest(number), run(1), Timestamp(number));
     }
     // The oldest are forgotten, the newest known.
-    assert_eq!(suspects.note_crash(digest(0), run(2), Moment(20_000)), 1);
+    assert_eq!(suspects.note_crash(digest(0), run(2), Timestamp(20_000)), 1);
     assert_eq!(
-        suspects.note_crash(digest(19_999), run(2), Moment(20_001)),
+        suspects.note_crash(digest(19_999), run(2), Timestamp(20_001)),
         2
     );
 }
@@ -116,15 +116,15 @@
 #[test]
 fn quarantine_ends_by_itself() {
     let mut quarantine = Quarantine::default();
-    assert!(quarantine.put(digest(1), QuarantineSource::Told, Moment(0)));
-    assert!(!quarantine.put(digest(1), QuarantineSource::Told, Moment(1)));
-    let nearly = Moment(0) + QUARANTINE - Duration::from_secs(1);
+    assert!(quarantine.put(digest(1), QuarantineSource::Told, Timestamp(0)));
+    assert!(!quarantine.put(digest(1), QuarantineSource::Told, Timestamp(1)));
+    let nearly = Timestamp(0) + QUARANTINE - Duration::from_secs(1);
     assert_eq!(
         quarantine.time_left(digest(1), nearly),
         Some(Duration::from_secs(1))
     );
     assert_eq!(
-        quarantine.time_left(digest(1), Moment(0) + QUARANTINE),
+        quarantine.time_left(digest(1), Timestamp(0) + QUARANTINE),
         None
     );
     assert_eq!(quarantine.time_left(digest(2), nearly), None);
@@ -135,8 +135,8 @@
 #[test]
 fn late_word_does_not_undo_a_lift() {
     let mut quarantine = Quarantine::default();
-    assert_eq!(quarantine.lift(digest(1), Moment(0)), None);
-    let soon = Moment(0) + Duration::from_secs(2);
+    assert_eq!(quarantine.lift(digest(1), Timestamp(0)), None);
+    let soon = Timestamp(0) + Duration::from_secs(2);
     assert!(!quarantine.put(digest(1), QuarantineSource::Told, soon));
     assert_eq!(quarantine.time_left(digest(1), soon), None);
     // What this node has counted itself since then is no late word.
@@ -146,10 +146,10 @@
 #[test]
 fn lift_tells_who_had_found_out() {
     let mut quarantine = Quarantine::default();
-    quarantine.put(digest(1), QuarantineSource::Told, Moment(0));
-    quarantine.put(digest(2), QuarantineSource::Counted, Moment(0));
-    assert_eq!(quarantine.len(Moment(1)), 2);
-    let now = Moment(2);
+    quarantine.put(digest(1), QuarantineSource::Told, Timestamp(0));
+    quarantine.put(digest(2), QuarantineSource::Counted, Timestamp(0));
+    assert_eq!(quarantine.len(Timestamp(1)), 2);
+    let now = Timestamp(2);
     assert_eq!(
         quarantine.lift(digest(1), now),
         Some(QuarantineSource::Told)
--- a/tests/integration/offer_rounds.rs
+++ b/tests/integration/offer_rounds.rs
@@ -5,13 +5,13 @@
         offer_rounds::{OfferRounds, RingNode},
         store_reading::order_ring,
     },
-    state::{configuration::ConfigurationVersion, moment::Moment},
+    state::{configuration::ConfigurationVersion, timestamp::Timestamp},
 };
 use std::{net::SocketAddr, time::Duration};
 
 const VERSION: ConfigurationVersion = ConfigurationVersion(6);
 const NEXT: ConfigurationVersion = ConfigurationVersion(7);
-const START: Moment = Moment(1_000_000);
+const START: Timestamp = Timestamp(1_000_000);
 
 fn node(number: u8) -> SocketAddr {
     SocketAddr::from(([10, 0, 0, number], 7_000))
@@ -30,7 +30,7 @@
     ring.collect()
 }
 
-fn at(millis: u64) -> Moment {
+fn at(millis: u64) -> Timestamp {
     START + Duration::from_millis(millis)
 }
 
--- a/tests/integration/overload.rs
+++ b/tests/integration/overload.rs
@@ -2,7 +2,7 @@
 
 use camphorturn::{
     coordination::slot_queue::{SlotAction, SlotDecision, SlotNumber, SlotQueue, SlotRequest},
-    state::moment::Moment,
+    state::timestamp::Timestamp,
 };
 use rand::{RngExt, SeedableRng, rngs::StdRng};
 use std::{
@@ -40,15 +40,15 @@
     queue: SlotQueue,
     random: StdRng,
     /// When running requests end.
-    ends: BinaryHeap<Reverse<(Moment, u64)>>,
-    arrived: HashMap<SlotNumber, Moment>,
+    ends: BinaryHeap<Reverse<(Timestamp, u64)>>,
+    arrived: HashMap<SlotNumber, Timestamp>,
     outcome: Outcome,
 }
 
 impl Replay {
     fn new(seed: u64) -> Self {
         Self {
-            queue: SlotQueue::new(LIMIT, Moment(0)),
+            queue: SlotQueue::new(LIMIT, Timestamp(0)),
             random: StdRng::seed_from_u64(seed),
             ends: BinaryHeap::new(),
             arrived: HashMap::new(),
@@ -58,7 +58,7 @@
 
     /// Brings `rate` requests a second for a span, then lets all end.
     fn play(mut self, phases: &[(u32, Duration)]) -> Outcome {
-        let mut now = Moment(0);
+        let mut now = Timestamp(0);
         for (rate, span) in phases {
             let until = now + *span;
             while now < until {
@@ -72,7 +72,7 @@
         self.outcome
     }
 
-    fn run_until(&mut self, now: Moment) {
+    fn run_until(&mut self, now: Timestamp) {
         while let Some(Reverse((at, number))) = self.ends.peek().copied() {
             if at > now {
                 break;
@@ -86,7 +86,7 @@
         self.take(actions, now);
     }
 
-    fn end(&mut self, number: SlotNumber, at: Moment) {
+    fn end(&mut self, number: SlotNumber, at: Timestamp) {
         let arrived = self.arrived.remove(&number).expect("it ran");
         if at.since(arrived) <= TARGET {
             self.outcome.on_time += 1;
@@ -97,7 +97,7 @@
         self.take(actions, at);
     }
 
-    fn take(&mut self, actions: Vec<SlotAction>, at: Moment) {
+    fn take(&mut self, actions: Vec<SlotAction>, at: Timestamp) {
         for action in actions {
             match action {
                 SlotAction::Start(number) => self.start(number, at),
@@ -109,13 +109,13 @@
         }
     }
 
-    fn start(&mut self, number: SlotNumber, at: Moment) {
+    fn start(&mut self, number: SlotNumber, at: Timestamp) {
         let (least, most) = WORK;
         let took = Duration::from_millis(self.random.random_range(least..most));
         self.ends.push(Reverse((at + took, number.0)));
     }
 
-    fn arrive(&mut self, now: Moment) {
+    fn arrive(&mut self, now: Timestamp) {
         let mut request = SlotRequest {
             priority: 1,
             within: Duration::ZERO,
--- a/tests/integration/proxy_decisions.rs
+++ b/tests/integration/proxy_decisions.rs
@@ -16,11 +16,11 @@
     },
     state::{
         configuration::ConfigurationVersion,
-        moment::Moment,
         placement_view::{NodeLoad, NodeRecord, NodeView, StoredRecord},
         rate_limit::RateLimit,
         routing_table::{ClientLimits, Route, RouteIndex, RoutingTable, WeightedService},
         run_identity::RunIdentity,
+        timestamp::Timestamp,
     },
 };
 use std::{net::SocketAddr, rc::Rc, time::Duration};
@@ -261,14 +261,14 @@
             slowdown_percent: 100,
             ..NodeLoad::default()
         },
-        Moment(0),
+        Timestamp(0),
     ));
     let order = order_candidates(
         busy.iter(),
         (&"desk".into(), &"look".into()),
         &"a".into(),
         || 0.5,
-        Moment(1),
+        Timestamp(1),
     );
     let addresses: Vec<SocketAddr> = order.iter().map(|candidate| candidate.address).collect();
     assert_eq!(addresses, [address(3), address(2), address(1)]);
@@ -277,7 +277,7 @@
 #[test]
 fn order_leaves_out_unreachable() {
     let mut unreachable = view(1, "a");
-    unreachable.note_unreachable(Moment(0));
+    unreachable.note_unreachable(Timestamp(0));
     let views = [unreachable, view(2, "a")];
     let order = |now| {
         order_candidates(
@@ -289,8 +289,8 @@
         )
         .len()
     };
-    assert_eq!(order(Moment(1)), 1);
-    assert_eq!(order(Moment(300_000)), 2);
+    assert_eq!(order(Timestamp(1)), 1);
+    assert_eq!(order(Timestamp(300_000)), 2);
 }
 
 /// Symptom: each request to a VM that stands still is late. Sequence: it takes connections and says nothing;
@@ -298,10 +298,10 @@
 #[test]
 fn order_silent_node_last() {
     let mut silent = view(1, "a");
-    silent.note_sent(Moment(0));
+    silent.note_sent(Timestamp(0));
     let mut busy = view(2, "a");
-    busy.note_sent(Moment(0));
-    busy.note_sent(Moment(0));
+    busy.note_sent(Timestamp(0));
+    busy.note_sent(Timestamp(0));
     let first = |silent: &NodeView, busy: &NodeView, now| {
         let views = [silent.clone(), busy.clone()];
         let order = order_candidates(
@@ -313,11 +313,11 @@
         );
         order[0].address
     };
-    assert_eq!(first(&silent, &busy, Moment(50_000)), address(1));
-    busy.note_heard(Moment(390_000));
-    assert_eq!(first(&silent, &busy, Moment(400_000)), address(2));
+    assert_eq!(first(&silent, &busy, Timestamp(50_000)), address(1));
+    busy.note_heard(Timestamp(390_000));
+    assert_eq!(first(&silent, &busy, Timestamp(400_000)), address(2));
     silent.note_ended();
-    assert_eq!(silent.silence(Moment(400_000)), Duration::ZERO);
+    assert_eq!(silent.silence(Timestamp(400_000)), Duration::ZERO);
 }
 
 #[test]
@@ -364,8 +364,8 @@
 /// fails within the same second. Cause: the budget of lines was spent on the ordinary ones.
 #[test]
 fn lines_telling_ones_last_longer() {
-    let lines = LineWriter::new("n1".into(), KEEP_ALL, Moment(1));
-    let now = Moment(1);
+    let lines = LineWriter::new("n1".into(), KEEP_ALL, Timestamp(1));
+    let now = Timestamp(1);
     let ordinary = (0..1_000)
         .filter(|_| lines.take(Weight::Ordinary, now))
         .count();
@@ -395,7 +395,7 @@
         one_in: 4,
         kept: 1_000,
     };
-    let now = Moment(1);
+    let now = Timestamp(1);
     let told = |node: &str| {
         let lines = LineWriter::new(node.into(), rules, now);
         for number in 0..40 {
@@ -416,14 +416,14 @@
 
 #[test]
 fn lines_left_out_are_told() {
-    let lines = LineWriter::new("n1".into(), KEEP_ALL, Moment(1));
+    let lines = LineWriter::new("n1".into(), KEEP_ALL, Timestamp(1));
     let event = ProxyEvent::StateRejected {
         error: "e".to_owned(),
     };
     for _ in 0..200 {
-        lines.write(&event, Moment(1));
+        lines.write(&event, Timestamp(1));
     }
-    lines.write(&event, Moment(1_000_001));
+    lines.write(&event, Timestamp(1_000_001));
     let (kept, _) = lines.list_kept(0);
     let parsed: Vec<LogLine> = kept
         .iter()
@@ -438,7 +438,7 @@
 #[test]
 fn rate_limit_keeps_to_its_rate() {
     let mut limit = RateLimit::new(60.0, 60.0);
-    let asked = (0..100_000_u64).map(|step| Moment(step * 100));
+    let asked = (0..100_000_u64).map(|step| Timestamp(step * 100));
     let granted = asked.filter(|now| limit.take(*now)).count();
     // Ten seconds, and one burst.
     assert!((659..=661).contains(&granted), "{granted}");
@@ -448,8 +448,8 @@
 fn told_finish_holds_for_a_while() {
     let mut view = view(1, "a");
     let class = "look".into();
-    view.note_refused(&class, Duration::from_millis(200), Moment(0));
-    let later = |millis: u64| Moment(millis * 1_000);
+    view.note_refused(&class, Duration::from_millis(200), Timestamp(0));
+    let later = |millis: u64| Timestamp(millis * 1_000);
     assert_eq!(
         view.told_finish(&class, later(40)),
         Some(Duration::from_millis(160))
--- a/tests/integration/repeats.rs
+++ b/tests/integration/repeats.rs
@@ -7,8 +7,8 @@
         repeat_budget::{RepeatBudget, RepeatRules, RepeatShare},
     },
     state::{
-        moment::Moment,
         names::{ClassName, ServiceName},
+        timestamp::Timestamp,
     },
 };
 use rand::{RngExt, SeedableRng, rngs::StdRng};
@@ -46,9 +46,9 @@
         .for_each(|steps| {
             const NODES: usize = 5;
             let mut nodes = vec![RepeatBudget::default(); NODES];
-            let mut taken: Vec<Moment> = Vec::new();
-            let mut asked: Vec<Moment> = Vec::new();
-            let mut now = Moment(0);
+            let mut taken: Vec<Timestamp> = Vec::new();
+            let mut asked: Vec<Timestamp> = Vec::new();
+            let mut now = Timestamp(0);
             for (node, repeats, span) in steps {
                 now = now + Duration::from_millis(u64::from(*span) % 2_000);
                 let node = &mut nodes[usize::from(*node) % NODES];
@@ -59,7 +59,7 @@
                     node.count_request(now, RULES);
                     asked.push(now);
                 }
-                let within = |at: &&Moment| now.since(**at) <= RULES.window;
+                let within = |at: &&Timestamp| now.since(**at) <= RULES.window;
                 let repeats = taken.iter().filter(within).count();
                 let requests = asked.iter().filter(within).count();
                 let allowed = 0.2 * as_float(requests) + RULES.slack;
@@ -77,7 +77,7 @@
     for uptime in [LONG_UP, Duration::from_secs(1)] {
         for _ in 0..NODES {
             let mut budget = RepeatBudget::default();
-            while budget.take(Moment(0), share(NODES, uptime), 1.0) {
+            while budget.take(Timestamp(0), share(NODES, uptime), 1.0) {
                 spent += 1.0;
             }
         }
@@ -89,7 +89,7 @@
 fn bound_calls_never_below_what_a_run_makes() {
     let (history, valve) = (ClassName::from("history"), ServiceName::from("irrigate"));
     let mut calls = CallsPerRun::default();
-    let mut now = Moment(0);
+    let mut now = Timestamp(0);
     for _ in 0..50 {
         let start = calls.note_start(&history, now);
         for _ in 0..2 {
@@ -111,7 +111,7 @@
 #[test]
 fn bound_calls_of_an_unknown_class() {
     let calls = CallsPerRun::default();
-    assert!(calls.bound_calls(&"new".into(), Moment(0)).is_empty());
+    assert!(calls.bound_calls(&"new".into(), Timestamp(0)).is_empty());
 }
 
 /// A drawn deployment: service 0 is called by clients, each next one by the runs of the one before.
@@ -156,8 +156,8 @@
     sequence: usize,
     runs: Vec<RunStart>,
     /// What the rule counts, by service.
-    requests: Vec<Vec<Moment>>,
-    beyond_first: Vec<Vec<Moment>>,
+    requests: Vec<Vec<Timestamp>>,
+    beyond_first: Vec<Vec<Timestamp>>,
 }
 
 impl Mesh {
@@ -212,7 +212,7 @@
     }
 
     fn take(&mut self, millis: u64, event: ModelEvent) {
-        let now = Moment(0) + Duration::from_millis(millis);
+        let now = Timestamp(0) + Duration::from_millis(millis);
         match event {
             ModelEvent::Request {
                 entry,
@@ -247,8 +247,8 @@
         }
     }
 
-    fn pays(&mut self, entry: usize, service: usize, now: Moment) -> bool {
-        let uptime = now.since(Moment(0));
+    fn pays(&mut self, entry: usize, service: usize, now: Timestamp) -> bool {
+        let uptime = now.since(Timestamp(0));
         let nodes = self.nodes.len();
         let budget = self.nodes[entry].budgets.entry(service).or_default();
         budget.take(now, share(nodes, uptime), 1.0)
@@ -256,14 +256,14 @@
 
     /// Runs a request at some node of its service; a repeat only if that node can pay for its calls.
     fn start(&mut self, millis: u64, entry: usize, service: usize, first: bool) {
-        let now = Moment(0) + Duration::from_millis(millis);
+        let now = Timestamp(0) + Duration::from_millis(millis);
         let each = self.nodes.len() / self.requests.len();
         let node = service * each + self.random.random_range(0..each);
         let class = Self::class(service);
         if !first {
             for (called, amount) in self.nodes[node].calls.bound_calls(&class, now) {
                 let called: usize = called.as_str()[1..].parse().expect("a number");
-                let (nodes, uptime) = (self.nodes.len(), now.since(Moment(0)));
+                let (nodes, uptime) = (self.nodes.len(), now.since(Timestamp(0)));
                 let budget = self.nodes[node].budgets.entry(called).or_default();
                 if !budget.take(now, share(nodes, uptime), amount) {
                     let entry = self.nodes[entry].budgets.entry(service);
@@ -306,15 +306,16 @@
 }
 
 /// Requests count in the window, in the one before it or in the one half a window before, whichever has most.
-fn find_worst(requests: &[Moment], beyond_first: &[Moment]) -> f64 {
+fn find_worst(requests: &[Timestamp], beyond_first: &[Timestamp]) -> f64 {
     let window = RULES.window;
-    let count = |from: Moment, moments: &[Moment]| {
+    let count = |from: Timestamp, moments: &[Timestamp]| {
         let first = moments.partition_point(|at| *at < from);
         let last = moments.partition_point(|at| *at <= from + window);
         as_float(last - first)
     };
-    let earlier = |at: Moment, by: Duration| Moment(0) + at.since(Moment(0)).saturating_sub(by);
-    let use_of = |from: &Moment| {
+    let earlier =
+        |at: Timestamp, by: Duration| Timestamp(0) + at.since(Timestamp(0)).saturating_sub(by);
+    let use_of = |from: &Timestamp| {
         let spans = [*from, earlier(*from, window / 2), earlier(*from, window)];
         let most = spans.map(|from| count(from, requests)).into_iter();
         let most = most.fold(0.0, f64::max);
--- a/tests/integration/retiring.rs
+++ b/tests/integration/retiring.rs
@@ -5,9 +5,9 @@
     coordination::retiring::{RetirementWatch, Testimony, WatchedRecord, weigh_testimony},
     proxy::directory::{Directory, StateSource},
     state::{
-        moment::Moment,
         placement_view::{NodeRecord, StoredRecord},
         run_identity::RunIdentity,
+        timestamp::Timestamp,
     },
 };
 use std::{collections::BTreeSet, net::SocketAddr, time::Duration};
@@ -57,7 +57,7 @@
     watch: &mut RetirementWatch,
     records: &[WatchedRecord],
     alive: &BTreeSet<SocketAddr>,
-    (from, span): (Moment, Duration),
+    (from, span): (Timestamp, Duration),
 ) -> usize {
     let mut most = 0;
     let mut now = from;
@@ -78,8 +78,8 @@
     let records = [watched(1, "a", 1), watched(2, "a", 2)];
     let alive = BTreeSet::from([address(1)]);
     let mut watch = RetirementWatch::default();
-    run_watch(&mut watch, &records, &alive, (Moment(0), MINUTE * 29));
-    let soon = Moment(0) + MINUTE * 29;
+    run_watch(&mut watch, &records, &alive, (Timestamp(0), MINUTE * 29));
+    let soon = Timestamp(0) + MINUTE * 29;
     assert!(watch.list_gone(soon).is_empty());
     run_watch(&mut watch, &records, &alive, (soon, MINUTE * 2));
     assert_eq!(watch.list_gone(soon + MINUTE * 2), [address(2)]);
@@ -92,8 +92,8 @@
     let records = [watched(1, "a", 1), watched(2, "b", 2), watched(3, "b", 3)];
     let alive = BTreeSet::from([address(1)]);
     let mut watch = RetirementWatch::default();
-    run_watch(&mut watch, &records, &alive, (Moment(0), MINUTE * 60));
-    let hour = Moment(0) + MINUTE * 60;
+    run_watch(&mut watch, &records, &alive, (Timestamp(0), MINUTE * 60));
+    let hour = Timestamp(0) + MINUTE * 60;
     assert!(watch.list_gone(hour).is_empty());
     let day = hour + MINUTE * 60 * 24;
     run_watch(&mut watch, &records, &alive, (hour, MINUTE * 60 * 24));
@@ -105,9 +105,9 @@
     let mut watch = RetirementWatch::default();
     let alive = BTreeSet::from([address(1)]);
     let before = [watched(1, "a", 1), watched(2, "a", 2)];
-    run_watch(&mut watch, &before, &alive, (Moment(0), MINUTE * 25));
+    run_watch(&mut watch, &before, &alive, (Timestamp(0), MINUTE * 25));
     let after = [watched(1, "a", 1), watched(2, "a", 9)];
-    let later = Moment(0) + MINUTE * 25;
+    let later = Timestamp(0) + MINUTE * 25;
     run_watch(&mut watch, &after, &alive, (later, MINUTE * 10));
     assert!(watch.list_gone(later + MINUTE * 10).is_empty());
 }
@@ -132,8 +132,8 @@
 fn list_witnesses_of_the_same_zone_first() {
     let mut watch = RetirementWatch::default();
     let records = [watched(1, "a", 1), watched(2, "b", 2), watched(3, "b", 3)];
-    watch.follow(records.into_iter(), Moment(0));
-    let witnesses = watch.list_witnesses(address(3), Moment(1));
+    watch.follow(records.into_iter(), Timestamp(0));
+    let witnesses = watch.list_witnesses(address(3), Timestamp(1));
     assert_eq!(witnesses, [address(2), address(1)]);
 }
 
@@ -143,9 +143,9 @@
     let records: Vec<WatchedRecord> = (0..870).map(|n| watched(n, "a", 1)).collect();
     let alive: BTreeSet<SocketAddr> = (0..870).map(address).collect();
     let mut watch = RetirementWatch::default();
-    let most = run_watch(&mut watch, &records, &alive, (Moment(0), MINUTE * 60));
+    let most = run_watch(&mut watch, &records, &alive, (Timestamp(0), MINUTE * 60));
     assert_eq!(most, 29);
-    assert!(watch.list_gone(Moment(0) + MINUTE * 60).is_empty());
+    assert!(watch.list_gone(Timestamp(0) + MINUTE * 60).is_empty());
 }
 
 /// Nodes that answer are never listed, whatever else happens.
@@ -169,8 +169,8 @@
                 .filter(|((_, answers, _), _)| *answers);
             let alive: BTreeSet<SocketAddr> = answering.map(|(_, record)| record.address).collect();
             let mut watch = RetirementWatch::default();
-            run_watch(&mut watch, &records, &alive, (Moment(0), MINUTE * 40));
-            let gone = watch.list_gone(Moment(0) + MINUTE * 40);
+            run_watch(&mut watch, &records, &alive, (Timestamp(0), MINUTE * 40));
+            let gone = watch.list_gone(Timestamp(0) + MINUTE * 40);
             assert!(gone.iter().all(|address| !alive.contains(address)));
         });
 }
@@ -208,7 +208,7 @@
     let mut records: Vec<WatchedRecord> = (0..NODES).map(|n| watched(n, "a", 1)).collect();
     let mut alive: BTreeSet<SocketAddr> = (0..NODES).map(address).collect();
     let mut watch = RetirementWatch::default();
-    let mut now = Moment(0);
+    let mut now = Timestamp(0);
     let mut most = 0;
     let between = MINUTE * 60 * 24 / u32::from(REPLACED_A_DAY);
     for replaced in 0..REPLACED_A_DAY * DAYS {
--- a/tests/integration/slot_queue.rs
+++ b/tests/integration/slot_queue.rs
@@ -5,18 +5,18 @@
         slot_queue::{SlotAction, SlotDecision, SlotNumber, SlotQueue, SlotRequest},
         vm_pace::Pace,
     },
-    state::moment::Moment,
+    state::timestamp::Timestamp,
 };
 use std::{collections::HashSet, time::Duration};
 
-const START: Moment = Moment(0);
+const START: Timestamp = Timestamp(0);
 
 const fn ms(millis: u64) -> Duration {
     Duration::from_millis(millis)
 }
 
-const fn at(millis: u64) -> Moment {
-    Moment(millis * 1_000)
+const fn at(millis: u64) -> Timestamp {
+    Timestamp(millis * 1_000)
 }
 
 fn request(priority: u8, within: u64) -> SlotRequest {
@@ -206,7 +206,7 @@
     checker: &mut Checker,
     step: u8,
     choice: u8,
-    now: Moment,
+    now: Timestamp,
 ) -> Vec<SlotAction> {
     match step % 5 {
         0 | 1 => {
--- a/tests/integration/slow_start.rs
+++ b/tests/integration/slow_start.rs
@@ -2,7 +2,7 @@
 
 use camphorturn::{
     coordination::slow_start::{SlowStart, SlowStartRules, ToldColdTime},
-    state::moment::Moment,
+    state::timestamp::Timestamp,
 };
 use std::time::Duration;
 
@@ -10,8 +10,8 @@
 const LASTS: Duration = Duration::from_secs(3);
 const LIMIT: usize = 5;
 
-const fn at(millis: u64) -> Moment {
-    Moment(millis * 1_000)
+const fn at(millis: u64) -> Timestamp {
+    Timestamp(millis * 1_000)
 }
 
 fn told(left: Duration) -> ToldColdTime {
@@ -23,7 +23,7 @@
 }
 
 /// Starts as many as are let at one moment, up to a few more than the limit.
-fn start_all(slow_start: &mut SlowStart, now: Moment) -> usize {
+fn start_all(slow_start: &mut SlowStart, now: Timestamp) -> usize {
     let mut started = 0;
     while started < 2 * LIMIT && slow_start.wait(0, now).is_zero() {
         slow_start.note_start(now);
@@ -134,7 +134,7 @@
     let mut slow_start = SlowStart::new(now);
     let mut cold_since = now;
     slow_start.note_told(told(LASTS), now);
-    let mut starts: Vec<Moment> = Vec::new();
+    let mut starts: Vec<Timestamp> = Vec::new();
     for (event, pause) in events {
         now = now + Duration::from_millis(1 + u64::from(*pause % 700));
         let left = LASTS.saturating_sub(now.since(cold_since));
@@ -167,10 +167,10 @@
 }
 
 /// No second of the cold time has more starts than the limit.
-fn check(starts: &[Moment], cold_since: Moment) {
+fn check(starts: &[Timestamp], cold_since: Timestamp) {
     let cold = cold_since..cold_since + LASTS;
     let within = starts.iter().filter(|start| cold.contains(start));
-    let within: Vec<Moment> = within.copied().collect();
+    let within: Vec<Timestamp> = within.copied().collect();
     for first in &within {
         let second = within
             .iter()
--- a/tests/integration/store_copy.rs
+++ b/tests/integration/store_copy.rs
@@ -3,17 +3,17 @@
 use camphorturn::{
     proxy::directory::{Directory, StateSource},
     state::{
-        moment::Moment,
         placement_view::{NodeRecord, StoredRecord},
         quarantine::{Quarantine, QuarantineSource},
         request_digest::RequestDigest,
         run_identity::RunIdentity,
         store_position::StorePosition,
+        timestamp::Timestamp,
     },
 };
 use std::{collections::BTreeSet, net::SocketAddr};
 
-const NOW: Moment = Moment(1_000_000);
+const NOW: Timestamp = Timestamp(1_000_000);
 
 fn address(number: u8) -> SocketAddr {
     SocketAddr::from(([10, 0, 0, number], 7_000))
--- a/tests/integration/table_sources.rs
+++ b/tests/integration/table_sources.rs
@@ -3,14 +3,14 @@
 use bolero::{TypeGenerator, check};
 use camphorturn::{
     coordination::table_sources::{FetchStep, TableOffer, TableSources},
-    state::{configuration::ConfigurationVersion, moment::Moment},
+    state::{configuration::ConfigurationVersion, timestamp::Timestamp},
 };
 use std::{collections::HashMap, net::SocketAddr, time::Duration};
 
 const OWN: ConfigurationVersion = ConfigurationVersion(5);
 const NEWER: ConfigurationVersion = ConfigurationVersion(6);
 const NEWEST: ConfigurationVersion = ConfigurationVersion(7);
-const START: Moment = Moment(1_000_000);
+const START: Timestamp = Timestamp(1_000_000);
 /// Time that a hint waits for an offer.
 const PATIENCE: Duration = Duration::from_millis(300);
 
@@ -201,7 +201,7 @@
 struct Follower {
     sources: TableSources,
     own: ConfigurationVersion,
-    now: Moment,
+    now: Timestamp,
     /// Offers and hints by node, each good for one question.
     told: HashMap<SocketAddr, usize>,
     /// Nodes whose offers were asked since the last passing on.
--- a/tests/integration/table_spreading.rs
+++ b/tests/integration/table_spreading.rs
@@ -6,13 +6,13 @@
 mod network;
 mod tables;
 
-use camphorturn::state::{configuration::ConfigurationVersion, moment::Moment};
+use camphorturn::state::{configuration::ConfigurationVersion, timestamp::Timestamp};
 use mesh::{Mesh, Plan};
 use std::{rc::Rc, time::Duration};
 use tables::{Tables, build_service, build_table};
 
 /// When the first version is published.
-const PUBLISHED: Moment = Moment(1_000_000);
+const PUBLISHED: Timestamp = Timestamp(1_000_000);
 /// Longest time until a version is in force at all nodes, from the first that has it.
 const BOUND: Duration = Duration::from_millis(2_500);
 /// The same in a mesh of 870 nodes.
--- a/tests/integration/table_spreading/mesh.rs
+++ b/tests/integration/table_spreading/mesh.rs
@@ -15,7 +15,7 @@
         table_sources::TableSources,
     },
     protocol::hop::StateMessage,
-    state::{configuration::ConfigurationVersion, moment::Moment},
+    state::{configuration::ConfigurationVersion, timestamp::Timestamp},
 };
 use rand::{RngExt, SeedableRng, rngs::StdRng, seq::SliceRandom};
 use std::{collections::HashMap, net::SocketAddr, rc::Rc, time::Duration};
@@ -69,8 +69,8 @@
     AnswerDue(usize),
     Handled(usize),
     Fetched(usize),
-    Look(usize, Moment),
-    LookAtZone(usize, Moment),
+    Look(usize, Timestamp),
+    LookAtZone(usize, Timestamp),
     Read(usize, ConfigurationVersion),
     Lost(usize),
     Request(usize),
@@ -101,7 +101,7 @@
     pub opened: bool,
     pub ended: bool,
     /// When it was begun, its question sent, or a piece of its answer received: the latest.
-    pub progress: Moment,
+    pub progress: Timestamp,
     /// A question put again, as the answer to the first changes another version than that in force.
     pub is_again: bool,
     /// The version that the answer leads to or tells, and the bytes of the change.
@@ -114,16 +114,16 @@
     pub dark: Option<Dark>,
     pub sources: TableSources,
     pub fetching: bool,
-    pub waits_until: Option<Moment>,
+    pub waits_until: Option<Timestamp>,
     /// The question to a node that was heard of by a request, which an offer ends.
     pub asks_heard: Option<usize>,
     pub rounds: OfferRounds,
     /// When it looks at its zone next.
-    pub looks_at: Moment,
+    pub looks_at: Timestamp,
     pub known: HashMap<usize, ConfigurationVersion>,
     pub own: ConfigurationVersion,
     /// When each version came to be in force, with all older ones.
-    pub in_force: Vec<(Moment, ConfigurationVersion)>,
+    pub in_force: Vec<(Timestamp, ConfigurationVersion)>,
     /// Answers with a table, and questions that failed.
     pub copies: usize,
     pub failed: usize,
@@ -135,7 +135,7 @@
     }
 
     /// When a version or a newer one came to be in force.
-    pub fn had(&self, version: ConfigurationVersion) -> Option<Moment> {
+    pub fn had(&self, version: ConfigurationVersion) -> Option<Timestamp> {
         let mut taken = self.in_force.iter();
         taken
             .find(|(_, taken)| *taken >= version)
@@ -203,7 +203,7 @@
             waits_until: None,
             asks_heard: None,
             rounds: OfferRounds::default(),
-            looks_at: Moment(0),
+            looks_at: Timestamp(0),
             known: (0..self.plan.nodes).map(|other| (other, own)).collect(),
             own,
             in_force: Vec::new(),
@@ -246,7 +246,7 @@
     }
 
     /// The store has a version from a moment on.
-    pub fn publish(&mut self, version: ConfigurationVersion, at: Moment) {
+    pub fn publish(&mut self, version: ConfigurationVersion, at: Timestamp) {
         for number in 0..self.nodes.len() {
             if self.nodes[number].is_reader {
                 let late = READ_SPREAD.mul_f64(self.random.random_range(0.0..1.0));
@@ -255,7 +255,7 @@
         }
     }
 
-    pub fn run(&mut self, end: Moment) {
+    pub fn run(&mut self, end: Timestamp) {
         while let Some(event) = self.timeline.next_until(end) {
             self.take(event);
         }
--- a/tests/integration/table_spreading/network.rs
+++ b/tests/integration/table_spreading/network.rs
@@ -3,7 +3,7 @@
 //! Each node has one link, full duplex. What a node sends leaves in segments, those of several transfers in turn; at
 //! the receiver's link the segments stand in line in the order of their coming.
 
-use camphorturn::state::moment::Moment;
+use camphorturn::state::timestamp::Timestamp;
 use std::{
     collections::{BTreeMap, VecDeque},
     time::Duration,
@@ -19,15 +19,15 @@
 /// What is due when.
 #[derive(Debug)]
 pub struct Timeline<E> {
-    now: Moment,
+    now: Timestamp,
     numbers: u64,
-    due: BTreeMap<(Moment, u64), E>,
+    due: BTreeMap<(Timestamp, u64), E>,
 }
 
 impl<E> Default for Timeline<E> {
     fn default() -> Self {
         Self {
-            now: Moment(0),
+            now: Timestamp(0),
             numbers: 0,
             due: BTreeMap::new(),
         }
@@ -35,13 +35,13 @@
 }
 
 impl<E> Timeline<E> {
-    pub const fn now(&self) -> Moment {
+    pub const fn now(&self) -> Timestamp {
         self.now
     }
 
-    pub fn at(&mut self, moment: Moment, event: E) {
+    pub fn at(&mut self, timestamp: Timestamp, event: E) {
         self.numbers += 1;
-        self.due.insert((moment, self.numbers), event);
+        self.due.insert((timestamp, self.numbers), event);
     }
 
     pub fn after(&mut self, pause: Duration, event: E) {
@@ -49,13 +49,13 @@
     }
 
     /// The next event up to a moment; time goes on to it.
-    pub fn next_until(&mut self, end: Moment) -> Option<E> {
+    pub fn next_until(&mut self, end: Timestamp) -> Option<E> {
         let first = self.due.first_entry()?;
-        let (moment, _) = *first.key();
-        if moment > end {
+        let (timestamp, _) = *first.key();
+        if timestamp > end {
             return None;
         }
-        self.now = moment;
+        self.now = timestamp;
         Some(first.remove())
     }
 }
@@ -101,7 +101,7 @@
     bits_per_second: u64,
     leaving: VecDeque<usize>,
     is_sending: bool,
-    incoming_free: Moment,
+    incoming_free: Timestamp,
     is_cut: bool,
     bytes_in: usize,
     bytes_out: usize,
@@ -127,7 +127,7 @@
             bits_per_second,
             leaving: VecDeque::new(),
             is_sending: false,
-            incoming_free: Moment(0),
+            incoming_free: Timestamp(0),
             is_cut: false,
             bytes_in: 0,
             bytes_out: 0,
--- a/tests/integration/version_lag.rs
+++ b/tests/integration/version_lag.rs
@@ -3,15 +3,15 @@
 use bolero::check;
 use camphorturn::{
     coordination::version_lag::VersionLag,
-    state::{configuration::ConfigurationVersion, moment::Moment},
+    state::{configuration::ConfigurationVersion, timestamp::Timestamp},
 };
 use std::time::Duration;
 
 const OWN: ConfigurationVersion = ConfigurationVersion(5);
-const START: Moment = Moment(1_000_000_000);
+const START: Timestamp = Timestamp(1_000_000_000);
 const LIMIT: Duration = Duration::from_secs(1);
 
-fn after(millis: u64) -> Moment {
+fn after(millis: u64) -> Timestamp {
     START + Duration::from_millis(millis)
 }
 
@@ -69,7 +69,7 @@
             let mut lag = VersionLag::default();
             let (mut own, mut now) = (OWN, START);
             let mut newest = OWN;
-            let mut told: Vec<(ConfigurationVersion, Moment)> = Vec::new();
+            let mut told: Vec<(ConfigurationVersion, Timestamp)> = Vec::new();
             for (version, step, pause) in reports {
                 now = now + Duration::from_millis(u64::from(*pause));
                 let version = ConfigurationVersion(u64::from(*version));
--- a/tests/integration/vm_pace.rs
+++ b/tests/integration/vm_pace.rs
@@ -2,12 +2,12 @@
 
 use camphorturn::{
     coordination::vm_pace::{Pace, PaceHistory},
-    state::moment::Moment,
+    state::timestamp::Timestamp,
 };
 use std::time::Duration;
 
-const fn at(millis: u64) -> Moment {
-    Moment(millis * 1_000)
+const fn at(millis: u64) -> Timestamp {
+    Timestamp(millis * 1_000)
 }
 
 /// Takes in one figure every 20 ms over a span; returns the last pace.
