--- a/src/proxy/executing/dispatch.rs
+++ b/src/proxy/executing/dispatch.rs
@@ -16,7 +16,7 @@
     state::{ablation::Mechanism, request_digest::RequestDigest},
     transport::{
         callers::CallerRequest,
-        outgoing::{Reuse, SendError, SendRules},
+        outgoing::{ConnectionReuse, SendError, SendOptions},
     },
 };
 use bytes::Bytes;
@@ -55,12 +55,12 @@
     let Some(request) = build_request(names, req, hop, &run.instance, time_left) else {
         return (Verdict::Refused(RefusalReason::NotSent), None);
     };
-    let rules = SendRules {
-        reuse: Reuse::for_request(hop.idempotent || Mechanism::FreshConnections.is_off()),
+    let rules = SendOptions {
+        reuse: ConnectionReuse::for_request(hop.idempotent || Mechanism::FreshConnections.is_off()),
         connect_timeout: CONNECT_TIMEOUT.min(time_left),
         idle_limit: IDLE_LIMIT,
         body_limit: BODY_LIMIT,
-        patience: None,
+        answer_timeouts: None,
     };
     let started = core.timers.now();
     let percent = core.slots.load().slowdown_percent;
@@ -75,7 +75,7 @@
         }
     };
     let now = core.timers.now();
-    let is_cut = matches!(sent, Err(SendError::Cut));
+    let is_cut = matches!(sent, Err(SendError::Disconnected));
     let result = judge(core, sent, &run.instance);
     let cut = is_cut.then(|| CutRequest {
         request: request_id,
@@ -127,7 +127,7 @@
             pause(core);
             (Verdict::Refused(RefusalReason::NotSent), None)
         }
-        Err(SendError::Cut) => (Verdict::Unknown(UnknownCause::UpstreamCut), None),
+        Err(SendError::Disconnected) => (Verdict::Unknown(UnknownCause::UpstreamCut), None),
         Err(SendError::BadAnswer) => (Verdict::Unknown(UnknownCause::BadAnswer), None),
     }
 }
--- a/src/proxy/executing/pace.rs
+++ b/src/proxy/executing/pace.rs
@@ -13,7 +13,7 @@
         },
     },
     state::{ablation::Mechanism, rate_limit::RateLimit, timestamp::Timestamp},
-    transport::outgoing::Reuse,
+    transport::outgoing::ConnectionReuse,
 };
 use http::HeaderMap;
 use std::{
@@ -163,7 +163,7 @@
     let Some(uri) = service.and_then(|service| find_health_uri(core, &service)) else {
         return;
     };
-    match send_question(core, uri, Reuse::Any).await {
+    match send_question(core, uri, ConnectionReuse::Any).await {
         Ok(answer) => note_load(core, answer.headers()),
         // Asked again after the usual pause, not by every request that comes meanwhile.
         Err(_) => core.slots.note_unanswered(core.timers.now()),
--- a/src/proxy/executing/questions.rs
+++ b/src/proxy/executing/questions.rs
@@ -6,7 +6,7 @@
         executing::warmth::note_warmth,
     },
     state::{names::ServiceName, placement_view::NodeRecord},
-    transport::outgoing::{Reuse, SendError, SendRules},
+    transport::outgoing::{ConnectionReuse, SendError, SendOptions},
 };
 use bytes::Bytes;
 use http::{Request, Response, Uri, response::Parts};
@@ -25,7 +25,7 @@
     let Some(uri) = find_health_uri(core, &record.service) else {
         return false;
     };
-    let Ok(answer) = send_question(core, uri, Reuse::Any).await else {
+    let Ok(answer) = send_question(core, uri, ConnectionReuse::Any).await else {
         return false;
     };
     let same = read_instance(core, &answer).is_some_and(|told| told == record.run.instance);
@@ -35,7 +35,7 @@
 /// The identity that the upstream tells when it is asked; none if it does not answer.
 pub async fn ask_instance(core: &Rc<ProxyCore>, service: &ServiceName) -> Option<String> {
     let uri = find_health_uri(core, service)?;
-    let answer = send_question(core, uri, Reuse::Any).await.ok()?;
+    let answer = send_question(core, uri, ConnectionReuse::Any).await.ok()?;
     read_instance(core, &answer).map(str::to_owned)
 }
 
@@ -44,13 +44,20 @@
 pub async fn has_ended(core: &Rc<ProxyCore>, service: &ServiceName, instance: &str) -> bool {
     let upstream = core.settings.upstream;
     let Some(uri) = find_health_uri(core, service) else {
-        return core.outgoing.is_refused(upstream, ANSWER_TIMEOUT).await;
+        return core
+            .outgoing
+            .refuses_connections(upstream, ANSWER_TIMEOUT)
+            .await;
     };
-    match send_question(core, uri, Reuse::Never).await {
+    match send_question(core, uri, ConnectionReuse::Never).await {
         Ok(answer) => read_instance(core, &answer).is_some_and(|told| told != instance),
         Err(QuestionError::Failed(error)) => error != SendError::BadAnswer,
         Err(QuestionError::OutOfTime) => false,
-        Err(QuestionError::OutOfBudget) => core.outgoing.is_refused(upstream, ANSWER_TIMEOUT).await,
+        Err(QuestionError::OutOfBudget) => {
+            core.outgoing
+                .refuses_connections(upstream, ANSWER_TIMEOUT)
+                .await
+        }
     }
 }
 
@@ -79,7 +86,7 @@
 pub async fn send_question(
     core: &Rc<ProxyCore>,
     uri: Uri,
-    on: Reuse,
+    on: ConnectionReuse,
 ) -> Result<Response<Bytes>, QuestionError> {
     if !core.slots.pace.take_question(core.timers.now()) {
         return Err(QuestionError::OutOfBudget);
@@ -87,13 +94,13 @@
     count(&core.counters.probes);
     let mut request = Request::new(Full::default());
     *request.uri_mut() = uri;
-    let rules = SendRules {
+    let rules = SendOptions {
         reuse: on,
         // Beyond the whole time, so that a connection which was not opened was refused.
         connect_timeout: ANSWER_TIMEOUT * 2,
         idle_limit: IDLE_LIMIT,
         body_limit: BODY_LIMIT,
-        patience: None,
+        answer_timeouts: None,
     };
     let timeout = core.timers.after(ANSWER_TIMEOUT);
     let names = &core.settings.headers;
--- a/src/proxy/peers.rs
+++ b/src/proxy/peers.rs
@@ -17,7 +17,7 @@
     state::ablation::Mechanism,
     transport::{
         callers::{CallerHandler, CallerReply, CallerRequest, reply_json},
-        outgoing::{Reuse, SendError, SendRules},
+        outgoing::{ConnectionReuse, SendError, SendOptions},
     },
 };
 use bytes::Bytes;
@@ -51,12 +51,12 @@
     req: &CallerRequest,
 ) -> Result<Executed, SendError> {
     let request = build_hop(hop, req).ok_or(SendError::NotSent)?;
-    let rules = SendRules {
-        reuse: Reuse::for_request(hop.idempotent || Mechanism::FreshConnections.is_off()),
+    let rules = SendOptions {
+        reuse: ConnectionReuse::for_request(hop.idempotent || Mechanism::FreshConnections.is_off()),
         connect_timeout: CONNECT_TIMEOUT,
         idle_limit: IDLE_LIMIT,
         body_limit: BODY_LIMIT,
-        patience: None,
+        answer_timeouts: None,
     };
     let is_answer = |parts: &Parts| parts.headers.contains_key(HOP_HEADER);
     let mut response = core.outgoing.send(to, request, rules, is_answer).await?;
--- a/src/proxy/state_messages.rs
+++ b/src/proxy/state_messages.rs
@@ -4,7 +4,7 @@
     coordination::spreading::split_receivers,
     protocol::hop::{STATE_HEADER, StateMessage},
     proxy::{core::ProxyCore, events::ProxyEvent},
-    transport::outgoing::{Patience, Reuse, SendRules},
+    transport::outgoing::{AnswerTimeouts, ConnectionReuse, SendOptions},
 };
 use bytes::Bytes;
 use http::{HeaderName, HeaderValue, Method, Request, Response, Uri};
@@ -14,14 +14,14 @@
 
 /// How a message with state is sent. A node that can't be reached in time is passed over; it learns the
 /// version from the next request.
-const RULES: SendRules = SendRules {
-    reuse: Reuse::Any,
+const RULES: SendOptions = SendOptions {
+    reuse: ConnectionReuse::Any,
     connect_timeout: Duration::from_millis(250),
     idle_limit: IDLE_LIMIT,
     body_limit: BODY_LIMIT,
-    patience: Some(Patience {
+    answer_timeouts: Some(AnswerTimeouts {
         head: TIMEOUT,
-        piece: TIMEOUT,
+        body_chunk: TIMEOUT,
     }),
 };
 /// Longest time that a kept connection to another node may have been idle. A VM that lost power meanwhile shows when a
--- a/src/transport/outgoing.rs
+++ b/src/transport/outgoing.rs
@@ -46,7 +46,7 @@
     NotSent,
     /// The connection ended after the request was handed over.
     #[error("connection ended before the answer")]
-    Cut,
+    Disconnected,
     /// The answer was malformed, cut short, too large or that of another request.
     #[error("malformed answer")]
     BadAnswer,
@@ -55,18 +55,18 @@
 /// Which kept connections a request may be sent on. The other side may have closed an idle one without notice; what is sent on it
 /// then ends as unknown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reuse {
+pub enum ConnectionReuse {
     /// Any that is kept.
     Any,
     /// Only one that was idle for less than that.
-    IdleFor(Duration),
+    IdleLessThan(Duration),
     /// None: a connection is opened.
     Never,
 }
 
-impl Reuse {
+impl ConnectionReuse {
     /// Bound for requests that must run once. Servers and networks drop idle connections after longer than that.
-    pub const FOR_ONCE: Self = Self::IdleFor(Duration::from_millis(150));
+    pub const NON_IDEMPOTENT: Self = Self::IdleLessThan(Duration::from_millis(150));
 
     /// The bound for a request, by whether it may run twice.
     #[must_use]
@@ -74,14 +74,14 @@
         if idempotent {
             Self::Any
         } else {
-            Self::FOR_ONCE
+            Self::NON_IDEMPOTENT
         }
     }
 
     fn allows(self, idle: Duration) -> bool {
         match self {
             Self::Any => true,
-            Self::IdleFor(limit) => idle < limit,
+            Self::IdleLessThan(limit) => idle < limit,
             Self::Never => false,
         }
     }
@@ -89,9 +89,9 @@
 
 /// How one request is to be sent.
 #[derive(Clone, Copy, Debug)]
-pub struct SendRules {
+pub struct SendOptions {
     /// Which kept connections it may be sent on.
-    pub reuse: Reuse,
+    pub reuse: ConnectionReuse,
     /// Longest time to open a connection.
     pub connect_timeout: Duration,
     /// Longest time that a connection may have been idle.
@@ -99,17 +99,17 @@
     /// Largest answer body, in bytes.
     pub body_limit: usize,
     /// How long nothing may come; none if whoever sends the request bounds its time.
-    pub patience: Option<Patience>,
+    pub answer_timeouts: Option<AnswerTimeouts>,
 }
 
 /// How long nothing may come of an answer. A bound on the whole answer would have a node with a thin link give up on each
 /// large document and ask for it anew, which keeps the link full.
 #[derive(Clone, Copy, Debug)]
-pub struct Patience {
+pub struct AnswerTimeouts {
     /// Until its head.
     pub head: Duration,
     /// Between two pieces of its body.
-    pub piece: Duration,
+    pub body_chunk: Duration,
 }
 
 struct Connection {
@@ -147,7 +147,7 @@
     }
 
     /// Closes the idle connections to an address.
-    pub fn forget(&self, address: SocketAddr) {
+    pub fn close_idle(&self, address: SocketAddr) {
         self.idle.borrow_mut().remove(&address);
     }
 
@@ -160,12 +160,15 @@
         self: &Rc<Self>,
         address: SocketAddr,
         req: Request<Full<Bytes>>,
-        rules: SendRules,
+        options: SendOptions,
         is_answer: impl Fn(&Parts) -> bool,
     ) -> Result<Response<Bytes>, SendError> {
         let mut req = req;
-        while let Some(mut connection) = self.take_idle(address, rules) {
-            match self.exchange(&mut connection, req, rules, &is_answer).await {
+        while let Some(mut connection) = self.take_idle(address, options) {
+            match self
+                .exchange(&mut connection, req, options, &is_answer)
+                .await
+            {
                 Ok(answer) => {
                     self.give_back(address, connection, answer.headers());
                     return Ok(answer);
@@ -174,8 +177,11 @@
                 Err(Failure::Ended(error)) => return Err(error),
             }
         }
-        let mut connection = self.open(address, rules.connect_timeout).await?;
-        match self.exchange(&mut connection, req, rules, &is_answer).await {
+        let mut connection = self.open(address, options.connect_timeout).await?;
+        match self
+            .exchange(&mut connection, req, options, &is_answer)
+            .await
+        {
             Ok(answer) => {
                 self.give_back(address, connection, answer.headers());
                 Ok(answer)
@@ -186,7 +192,7 @@
     }
 
     /// Whether nothing listens at an address: whoever did has ended. One that is too busy to answer within `limit` is there.
-    pub async fn is_refused(&self, address: SocketAddr, limit: Duration) -> bool {
+    pub async fn refuses_connections(&self, address: SocketAddr, limit: Duration) -> bool {
         let timeout = self.timers.after(limit);
         let connecting = pin!(TcpStream::connect(address));
         match select(connecting, timeout.recv_async()).await {
@@ -202,18 +208,20 @@
         &self,
         connection: &mut Connection,
         req: Request<Full<Bytes>>,
-        rules: SendRules,
+        options: SendOptions,
         is_answer: impl Fn(&Parts) -> bool,
     ) -> Result<Response<Bytes>, Failure> {
         let sent = connection.tx.try_send_request(req);
-        let head = rules.patience.map(|patience| patience.head);
+        let head = options
+            .answer_timeouts
+            .map(|answer_timeouts| answer_timeouts.head);
         let response = match self.within(head, sent).await? {
             Ok(response) => response,
             Err(mut error) => {
                 return Err(match error.take_message() {
                     Some(req) => Failure::Returned(Box::new(req)),
                     None if error.error().is_parse() => Failure::Ended(SendError::BadAnswer),
-                    None => Failure::Ended(SendError::Cut),
+                    None => Failure::Ended(SendError::Disconnected),
                 });
             }
         };
@@ -221,15 +229,17 @@
         if !is_answer(&parts) {
             return Err(Failure::Ended(SendError::BadAnswer));
         }
-        let body = self.read_body(incoming, rules).await?;
+        let body = self.read_body(incoming, options).await?;
         Ok(Response::from_parts(parts, body))
     }
 
-    async fn read_body(&self, incoming: Incoming, rules: SendRules) -> Result<Bytes, Failure> {
-        let mut body = Limited::new(incoming, rules.body_limit);
+    async fn read_body(&self, incoming: Incoming, options: SendOptions) -> Result<Bytes, Failure> {
+        let mut body = Limited::new(incoming, options.body_limit);
         let mut bytes = BytesMut::new();
-        let piece = rules.patience.map(|patience| patience.piece);
-        while let Some(frame) = self.within(piece, body.frame()).await? {
+        let body_chunk = options
+            .answer_timeouts
+            .map(|answer_timeouts| answer_timeouts.body_chunk);
+        while let Some(frame) = self.within(body_chunk, body.frame()).await? {
             let frame = frame.map_err(|_| Failure::Ended(SendError::BadAnswer))?;
             if let Ok(data) = frame.into_data() {
                 bytes.extend_from_slice(&data);
@@ -250,7 +260,7 @@
         let timeout = self.timers.after(limit);
         match select(pin!(part), timeout.recv_async()).await {
             Either::Left((part, _)) => Ok(part),
-            Either::Right(_) => Err(Failure::Ended(SendError::Cut)),
+            Either::Right(_) => Err(Failure::Ended(SendError::Disconnected)),
         }
     }
 
@@ -264,15 +274,15 @@
     }
 
     /// Takes the connection that was used last, if the rules allow it.
-    fn take_idle(&self, address: SocketAddr, rules: SendRules) -> Option<Connection> {
+    fn take_idle(&self, address: SocketAddr, options: SendOptions) -> Option<Connection> {
         let now = self.timers.now();
         let mut idle = self.idle.borrow_mut();
         let kept = idle.get_mut(&address)?;
         kept.retain(|idle| {
-            let limit = idle.allowed.unwrap_or(rules.idle_limit);
-            now.since(idle.since) < limit.min(rules.idle_limit) && !idle.connection.tx.is_closed()
+            let limit = idle.allowed.unwrap_or(options.idle_limit);
+            now.since(idle.since) < limit.min(options.idle_limit) && !idle.connection.tx.is_closed()
         });
-        let newest = kept.pop_if(|idle| rules.reuse.allows(now.since(idle.since)));
+        let newest = kept.pop_if(|idle| options.reuse.allows(now.since(idle.since)));
         newest.map(|idle| idle.connection)
     }
 
--- a/tests/integration/outgoing.rs
+++ b/tests/integration/outgoing.rs
@@ -4,7 +4,7 @@
 use bytes::Bytes;
 use camphorturn::{
     timers::TimerService,
-    transport::outgoing::{OutgoingConnections, Reuse, SendRules},
+    transport::outgoing::{ConnectionReuse, OutgoingConnections, SendOptions},
 };
 use http::Request;
 use http_body_util::Full;
@@ -16,13 +16,13 @@
     task::{LocalSet, spawn_local, yield_now},
 };
 
-fn rules(reuse: Reuse) -> SendRules {
-    SendRules {
+fn options(reuse: ConnectionReuse) -> SendOptions {
+    SendOptions {
         reuse,
         connect_timeout: Duration::from_secs(20),
         idle_limit: Duration::from_secs(1),
         body_limit: 64 * 1024,
-        patience: None,
+        answer_timeouts: None,
     }
 }
 
@@ -53,9 +53,9 @@
         let timers = TimerService::system();
         let outgoing: Rc<OutgoingConnections> = OutgoingConnections::new(timers.clone());
         let address = serve_once(bytes).await;
-        let rules = rules(Reuse::Never);
+        let options = options(ConnectionReuse::Never);
         let request = Request::new(Full::new(Bytes::new()));
-        let sent = outgoing.send(address, request, rules, |_| true).await;
+        let sent = outgoing.send(address, request, options, |_| true).await;
         timers.stop();
         sent.ok().map(http::Response::into_body)
     })
@@ -114,18 +114,18 @@
         let outgoing = OutgoingConnections::new(timers.clone());
         let connections = Rc::new(Cell::new(0));
         let address = serve_and_count(Rc::clone(&connections)).await;
-        let once = Reuse::for_request(false);
+        let once = ConnectionReuse::for_request(false);
         for (pause, reuse, opened) in [
             (0, once, 1),
             (100, once, 1),
             (200, once, 2),
-            (900, Reuse::Any, 2),
-            (0, Reuse::Never, 3),
+            (900, ConnectionReuse::Any, 2),
+            (0, ConnectionReuse::Never, 3),
         ] {
             timers.advance(Duration::from_millis(pause));
-            let rules = rules(reuse);
+            let options = options(reuse);
             let request = Request::new(Full::new(Bytes::new()));
-            let sent = outgoing.send(address, request, rules, |_| true).await;
+            let sent = outgoing.send(address, request, options, |_| true).await;
             assert!(sent.is_ok(), "after {pause} ms");
             // The connection is kept once the other tasks have had their turns.
             for _ in 0..20 {
