--- a/src/proxy/announcing.rs
+++ b/src/proxy/announcing.rs
@@ -39,7 +39,7 @@
     }
     let before = identify_own(core);
     let (service, warmup_left) = (announcement.service.clone(), announcement.warmup_left);
-    let effect = core.own.borrow_mut().announce(announcement);
+    let effect = core.local_upstream.borrow_mut().announce(announcement);
     if effect == AnnouncementEffect::Changed && before.is_some() && before != identify_own(core) {
         core.slots.restart();
     }
@@ -61,7 +61,11 @@
 /// A word of a run that has ended may arrive late, and a node that was started since does not know that run. Were
 /// it believed, the run that works would count as ended for good.
 async fn is_contradicted(core: &Rc<ProxyCore>, announcement: &Announcement) -> bool {
-    let known = core.own.borrow().serving().map(|run| run.identity.clone());
+    let known = core
+        .local_upstream
+        .borrow()
+        .serving()
+        .map(|run| run.identity.clone());
     if known.is_none_or(|known| known.instance == announcement.run.instance) {
         return false;
     }
@@ -72,12 +76,15 @@
 /// The present run of the upstream beside this node.
 #[must_use]
 pub fn identify_own(core: &ProxyCore) -> Option<RunIdentity> {
-    core.own.borrow().current().map(|run| run.identity.clone())
+    core.local_upstream
+        .borrow()
+        .current()
+        .map(|run| run.identity.clone())
 }
 
 /// Takes in that a run of the upstream leaves; returns once it may be acknowledged.
 pub async fn take_departure(core: &Rc<ProxyCore>, run: &RunIdentity, store: &Sender<RecordOrder>) {
-    let news = core.own.borrow_mut().depart(run);
+    let news = core.local_upstream.borrow_mut().depart(run);
     if news {
         core.log(&ProxyEvent::UpstreamDeparted {
             instance: run.instance.clone(),
@@ -92,7 +99,7 @@
     };
     set_limit(core, limit_for(record.slots));
     core.directory.borrow_mut().take_own(record.clone());
-    if core.stored.borrow().as_ref() == Some(&record) {
+    if core.stored_record.borrow().as_ref() == Some(&record) {
         return;
     }
     let (done, recorded) = flume::bounded(1);
@@ -112,10 +119,10 @@
 /// only every second or two. It must confirm its identity and that it does not leave: it may have been
 /// told to the earlier run that it leaves while the store was away.
 pub async fn take_stored(core: &Rc<ProxyCore>, record: NodeRecord) {
-    let unknown = core.own.borrow().current().is_none();
-    let unchanged = core.stored.replace(Some(record.clone())).as_ref() == Some(&record);
+    let unknown = core.local_upstream.borrow().current().is_none();
+    let unchanged = core.stored_record.replace(Some(record.clone())).as_ref() == Some(&record);
     if record.leaving {
-        core.own.borrow_mut().depart(&record.run);
+        core.local_upstream.borrow_mut().depart(&record.run);
     } else if unknown && !unchanged && confirm_instance(core, &record).await {
         let announcement = Announcement {
             run: record.run.clone(),
@@ -125,8 +132,8 @@
             warmup_left: Duration::ZERO,
             sequence: 0,
         };
-        if core.own.borrow().current().is_none() {
-            core.own.borrow_mut().announce(announcement);
+        if core.local_upstream.borrow().current().is_none() {
+            core.local_upstream.borrow_mut().announce(announcement);
             core.slots.recall_run();
             set_limit(core, limit_for(record.slots));
             core.directory.borrow_mut().take_own(record.clone());
@@ -140,7 +147,7 @@
 /// The record of this node, if its upstream has announced itself.
 #[must_use]
 pub fn describe_own(core: &ProxyCore) -> Option<NodeRecord> {
-    let own = core.own.borrow();
+    let own = core.local_upstream.borrow();
     let run = own.current()?;
     Some(NodeRecord {
         name: core.settings.name.clone(),
--- a/src/proxy/core.rs
+++ b/src/proxy/core.rs
@@ -57,19 +57,19 @@
     /// Wakes whoever waits for that.
     records_came: Notify,
     /// What the store holds of this node, as far as is known.
-    pub stored: RefCell<Option<NodeRecord>>,
+    pub stored_record: RefCell<Option<NodeRecord>>,
     /// The era of the store in which the record of this node was last found to be lost.
     pub lost_in_era: Cell<u64>,
     /// Wakes whoever writes it again.
     pub own_record_lost: Notify,
     /// The upstream beside the node, by its announcements.
-    pub own: RefCell<OwnUpstream>,
+    pub local_upstream: RefCell<OwnUpstream>,
     /// Its slots.
     pub slots: Slots,
     /// Budgets for second upstreams, by service.
-    pub repeats: RefCell<HashMap<ServiceName, RepeatBudget>>,
+    pub retry_budgets: RefCell<HashMap<ServiceName, RepeatBudget>>,
     /// What runs of the upstream's classes call.
-    pub calls: RefCell<CallsPerRun>,
+    pub calls_per_execution: RefCell<CallsPerRun>,
     /// Connections to the upstream and to other nodes.
     pub outgoing: Rc<OutgoingConnections>,
     /// Requests of clients in progress.
@@ -79,7 +79,7 @@
     /// Counts since the start.
     pub counters: ProxyCounters,
     /// Writes the lines of the log.
-    pub lines: LineWriter,
+    pub log_writer: LineWriter,
     /// When the node started.
     pub started: Timestamp,
     /// What became of the requests of each class.
@@ -103,11 +103,11 @@
     /// Until when this node reads the store in place of one that can't.
     reads_until: Cell<Timestamp>,
     /// Crashes of upstreams that this node counts.
-    pub suspects: RefCell<CrashSuspects>,
+    pub crash_suspects: RefCell<CrashSuspects>,
     /// Requests that are kept from upstreams.
     pub quarantine: RefCell<Quarantine>,
     /// What the upstream beside the node has answered.
-    pub answered: RefCell<AnsweredRequests>,
+    pub answered_requests: RefCell<AnsweredRequests>,
     /// Requests whose quarantine is to be written to the store as it is then, and who writes it.
     pub quarantine_orders: (Sender<RequestDigest>, Receiver<RequestDigest>),
     /// Requests picked a service by weight so far; spreads them evenly.
@@ -122,18 +122,18 @@
             directory: RefCell::new(Directory::default()),
             records_read: Cell::new(false),
             records_came: Notify::new(),
-            stored: RefCell::default(),
+            stored_record: RefCell::default(),
             lost_in_era: Cell::default(),
             own_record_lost: Notify::new(),
-            own: RefCell::default(),
+            local_upstream: RefCell::default(),
             slots: Slots::new(settings.bounds.probes_per_second, timers.now()),
-            repeats: RefCell::default(),
-            calls: RefCell::default(),
+            retry_budgets: RefCell::default(),
+            calls_per_execution: RefCell::default(),
             outgoing: OutgoingConnections::new(timers.clone()),
             in_progress: Cell::new(0),
             stopping_since: Cell::new(None),
             counters: ProxyCounters::default(),
-            lines: LineWriter::new(settings.name.clone(), settings.lines, timers.now()),
+            log_writer: LineWriter::new(settings.name.clone(), settings.lines, timers.now()),
             started: timers.now(),
             classes: RefCell::default(),
             class_bytes: RefCell::default(),
@@ -146,9 +146,9 @@
             evacuations: EvacuationsInForce::default(),
             table_taken: Notify::new(),
             reads_until: Cell::default(),
-            suspects: RefCell::default(),
+            crash_suspects: RefCell::default(),
             quarantine: RefCell::default(),
-            answered: RefCell::default(),
+            answered_requests: RefCell::default(),
             quarantine_orders: flume::unbounded(),
             picks: Cell::new(rand::rng().random_range(0..1_000)),
             settings,
@@ -178,7 +178,7 @@
 
     /// Writes an event to the log.
     pub fn log(&self, event: &ProxyEvent) {
-        self.lines.write(event, self.timers.now());
+        self.log_writer.write(event, self.timers.now());
     }
 
     /// The routing table in force.
--- a/src/proxy/crashes.rs
+++ b/src/proxy/crashes.rs
@@ -64,7 +64,7 @@
 
 /// A draining upstream ends as planned, which is no crash.
 fn leaves(core: &ProxyCore, run: &RunIdentity) -> bool {
-    let own = core.own.borrow();
+    let own = core.local_upstream.borrow();
     let current = own.current();
     current.is_some_and(|current| current.identity == *run && current.leaving)
 }
@@ -77,7 +77,7 @@
         ..
     } = cut;
     count(&core.counters.crashed);
-    let answered_before = core.answered.borrow().contains(&run, digest);
+    let answered_before = core.answered_requests.borrow().contains(&run, digest);
     core.log(&ProxyEvent::UpstreamCrashed {
         instance: run.instance.clone(),
         request,
@@ -92,7 +92,7 @@
 
 /// Records a response from the local upstream.
 pub fn note_answered_here(core: &Rc<ProxyCore>, digest: RequestDigest, run: &RunIdentity) {
-    core.answered.borrow_mut().note(run, digest);
+    core.answered_requests.borrow_mut().note(run, digest);
     if find_quarantine(core, digest).is_some() {
         let finding = CrashFinding::Answered(digest);
         take_finding(core, &finding);
@@ -165,7 +165,7 @@
 
 fn count_crash(core: &Rc<ProxyCore>, digest: RequestDigest, run: &RunIdentity) {
     let now = core.timers.now();
-    let mut suspects = core.suspects.borrow_mut();
+    let mut suspects = core.crash_suspects.borrow_mut();
     let crashes = suspects.note_crash(digest, run.clone(), now);
     drop(suspects);
     core.log(&ProxyEvent::CrashCounted {
@@ -211,7 +211,7 @@
 }
 
 fn take_answered(core: &ProxyCore, digest: RequestDigest) {
-    core.suspects.borrow_mut().note_answered(digest);
+    core.crash_suspects.borrow_mut().note_answered(digest);
     let now = core.timers.now();
     let lifted = core.quarantine.borrow_mut().lift(digest, now);
     let Some(source) = lifted else {
--- a/src/proxy/entry/request_line.rs
+++ b/src/proxy/entry/request_line.rs
@@ -94,7 +94,7 @@
             } else {
                 weight
             };
-            self.core.lines.write_as(told, &attempt, now);
+            self.core.log_writer.write_as(told, &attempt, now);
         }
         self.core.log(&ProxyEvent::RequestEnded {
             request: std::mem::take(&mut self.request),
--- a/src/proxy/executing.rs
+++ b/src/proxy/executing.rs
@@ -97,12 +97,14 @@
     }
     count(&core.counters.executed);
     let started = core
-        .calls
+        .calls_per_execution
         .borrow_mut()
         .note_start(&hop.class, core.timers.now());
     let (verdict, response) = dispatch(core, hop, req, digest, time_left).await;
     drop(slot);
-    core.calls.borrow_mut().note_end(&hop.class, &started);
+    core.calls_per_execution
+        .borrow_mut()
+        .note_end(&hop.class, &started);
     Executed {
         answer: describe(core, verdict, waited),
         response,
@@ -144,7 +146,7 @@
     if core.evacuations.contains(&core.settings.availability_zone) {
         return Some(RefusalReason::Evacuated);
     }
-    let own = core.own.borrow();
+    let own = core.local_upstream.borrow();
     match own.current() {
         None => Some(RefusalReason::UpstreamDown),
         Some(run) if run.service != hop.service => Some(RefusalReason::UnknownClass),
--- a/src/proxy/executing/attempt_line.rs
+++ b/src/proxy/executing/attempt_line.rs
@@ -89,7 +89,7 @@
     fn write(&mut self, end: LoggedEnd) {
         self.ended = true;
         let load = self.core.slots.load();
-        let own = self.core.own.borrow();
+        let own = self.core.local_upstream.borrow();
         self.core.log(&ProxyEvent::AttemptExecuted {
             request: std::mem::take(&mut self.request),
             digest: self.digest,
--- a/src/proxy/executing/dispatch.rs
+++ b/src/proxy/executing/dispatch.rs
@@ -46,7 +46,12 @@
     digest: RequestDigest,
     time_left: Duration,
 ) -> (Verdict, Option<Response<Bytes>>) {
-    let Some(run) = core.own.borrow().serving().map(|run| run.identity.clone()) else {
+    let Some(run) = core
+        .local_upstream
+        .borrow()
+        .serving()
+        .map(|run| run.identity.clone())
+    else {
         return (Verdict::Refused(RefusalReason::Draining), None);
     };
     let names = &core.settings.headers;
@@ -144,7 +149,7 @@
         core.log(&ProxyEvent::UpstreamReplaced {
             instance: instance.to_owned(),
         });
-        core.own.borrow_mut().disown(instance);
+        core.local_upstream.borrow_mut().disown(instance);
         return (Verdict::Refused(RefusalReason::UpstreamShed), None);
     }
     if response.headers().contains_key(&names.not_executed) {
--- a/src/proxy/executing/pace.rs
+++ b/src/proxy/executing/pace.rs
@@ -159,7 +159,11 @@
 }
 
 async fn ask(core: &Rc<ProxyCore>) {
-    let service = core.own.borrow().serving().map(|run| run.service.clone());
+    let service = core
+        .local_upstream
+        .borrow()
+        .serving()
+        .map(|run| run.service.clone());
     let Some(uri) = service.and_then(|service| find_health_uri(core, &service)) else {
         return;
     };
--- a/src/proxy/executing/warmth.rs
+++ b/src/proxy/executing/warmth.rs
@@ -52,7 +52,7 @@
 /// The service of the local upstream. Before its first announcement, when it is probed to confirm the stored record, the one of the
 /// settings.
 fn find_own_service(core: &ProxyCore) -> ServiceName {
-    let own = core.own.borrow();
+    let own = core.local_upstream.borrow();
     let run = own.current();
     run.map_or_else(|| core.settings.service.clone(), |run| run.service.clone())
 }
--- a/src/proxy/following.rs
+++ b/src/proxy/following.rs
@@ -224,7 +224,7 @@
 
 /// Writes the record of this node, which the store has dropped or lost.
 fn write_own_again(core: &ProxyCore, orders: &Sender<RecordOrder>) {
-    core.stored.replace(None);
+    core.stored_record.replace(None);
     core.log(&ProxyEvent::OwnRecordDropped {});
     let Some(record) = describe_own(core) else {
         return;
--- a/src/proxy/following/nodes.rs
+++ b/src/proxy/following/nodes.rs
@@ -107,7 +107,7 @@
                 address: record.address,
             });
         }
-        let own_is_dropped = core.stored.borrow().as_ref().is_some_and(by_key);
+        let own_is_dropped = core.stored_record.borrow().as_ref().is_some_and(by_key);
         if own_is_dropped {
             // Nobody has reached this node for long, but it lives: it was cut off, and gets no work from others without a record.
             write_own_again(core, &self.orders);
--- a/src/proxy/following/starting.rs
+++ b/src/proxy/following/starting.rs
@@ -31,7 +31,7 @@
 /// the records come after the configuration.
 pub(super) async fn wait_to_read_records(core: &ProxyCore) {
     if core.settings.first_start {
-        let is_stored = || core.stored.borrow().is_some();
+        let is_stored = || core.stored_record.borrow().is_some();
         wait_until(core, FIRST_RECORD_PATIENCE, FIRST_STEP, is_stored).await;
     } else {
         wait_for_routes(core).await;
--- a/src/proxy/following/writing.rs
+++ b/src/proxy/following/writing.rs
@@ -35,7 +35,7 @@
             match append(&store, &order.record).await {
                 Ok(()) => {
                     retries.succeed();
-                    core.stored.replace(Some(order.record.clone()));
+                    core.stored_record.replace(Some(order.record.clone()));
                     // Whoever waited for it may have given up.
                     let _ = order.done.try_send(());
                     break;
--- a/src/proxy/operating.rs
+++ b/src/proxy/operating.rs
@@ -91,8 +91,8 @@
 }
 
 fn list_lines(core: &ProxyCore, from: u64) -> LinePage {
-    let oldest = core.lines.oldest_kept();
-    let (lines, next) = core.lines.list_kept(from);
+    let oldest = core.log_writer.oldest_kept();
+    let (lines, next) = core.log_writer.list_kept(from);
     LinePage {
         lines,
         next,
@@ -104,7 +104,7 @@
 #[must_use]
 pub fn describe_condition(core: &ProxyCore) -> NodeCondition {
     let load = core.slots.load();
-    let own = core.own.borrow();
+    let own = core.local_upstream.borrow();
     NodeCondition {
         ready: core.is_ready(),
         leaving: own.current().is_some_and(|run| run.leaving),
@@ -140,7 +140,7 @@
 
 fn describe_upstream(core: &ProxyCore) -> Option<UpstreamStatus> {
     let load = core.slots.load();
-    let own = core.own.borrow();
+    let own = core.local_upstream.borrow();
     let run = own.current()?;
     Some(UpstreamStatus {
         instance: run.identity.instance.clone(),
--- a/src/proxy/repeats.rs
+++ b/src/proxy/repeats.rs
@@ -13,8 +13,10 @@
 /// Counts a request that begins at this node.
 pub fn count_request(core: &ProxyCore, service: &ServiceName) {
     let now = core.timers.now();
-    core.calls.borrow_mut().note_request(service, now);
-    let mut budgets = core.repeats.borrow_mut();
+    core.calls_per_execution
+        .borrow_mut()
+        .note_request(service, now);
+    let mut budgets = core.retry_budgets.borrow_mut();
     let budget = budgets.entry(service.clone()).or_default();
     budget.count_request(now, core.bounds().repeats);
 }
@@ -22,14 +24,14 @@
 /// Takes one repeat at a service; false if the budget does not hold it.
 pub fn take_repeat(core: &ProxyCore, service: &ServiceName) -> bool {
     let share = find_share(core);
-    let mut budgets = core.repeats.borrow_mut();
+    let mut budgets = core.retry_budgets.borrow_mut();
     let budget = budgets.entry(service.clone()).or_default();
     budget.take(core.timers.now(), share, 1.0)
 }
 
 /// Gives repeats back that were taken and reached no upstream.
 pub fn give_back_repeats(core: &ProxyCore, service: &ServiceName, repeats: u16) {
-    if let Some(budget) = core.repeats.borrow_mut().get_mut(service) {
+    if let Some(budget) = core.retry_budgets.borrow_mut().get_mut(service) {
         budget.give_back(repeats);
     }
 }
@@ -37,14 +39,14 @@
 /// Whether the budgets hold the calls that a repeated run of a class makes again.
 pub fn has_room_for_calls(core: &ProxyCore, class: &ClassName) -> bool {
     let calls = ExpectedCalls::of_run(core, class);
-    calls.check_each(&mut core.repeats.borrow_mut(), RepeatBudget::has_room)
+    calls.check_each(&mut core.retry_budgets.borrow_mut(), RepeatBudget::has_room)
 }
 
 /// Takes the calls that a repeated run of a class makes again; false, and nothing taken, if a budget does not hold
 /// them.
 pub fn take_calls(core: &ProxyCore, class: &ClassName) -> bool {
     let calls = ExpectedCalls::of_run(core, class);
-    let mut budgets = core.repeats.borrow_mut();
+    let mut budgets = core.retry_budgets.borrow_mut();
     calls.check_each(&mut budgets, RepeatBudget::has_room)
         && calls.check_each(&mut budgets, RepeatBudget::take)
 }
@@ -62,7 +64,7 @@
         Self {
             now,
             share: find_share(core),
-            amounts: core.calls.borrow().bound_calls(class, now),
+            amounts: core.calls_per_execution.borrow().bound_calls(class, now),
         }
     }
 
