--- a/src/proxy/core.rs
+++ b/src/proxy/core.rs
@@ -53,13 +53,13 @@
     /// The routing table in force and the nodes that are known.
     pub directory: RefCell<Directory>,
     /// Whether the records of nodes have been read since the start.
-    records_read: Cell<bool>,
+    node_records_read: Cell<bool>,
     /// Wakes whoever waits for that.
-    records_came: Notify,
+    node_records_loaded: Notify,
     /// What the store holds of this node, as far as is known.
     pub stored_record: RefCell<Option<NodeRecord>>,
     /// The era of the store in which the record of this node was last found to be lost.
-    pub lost_in_era: Cell<u64>,
+    pub record_lost_in_epoch: Cell<u64>,
     /// Wakes whoever writes it again.
     pub own_record_lost: Notify,
     /// The upstream beside the node, by its announcements.
@@ -83,25 +83,25 @@
     /// When the node started.
     pub started: Timestamp,
     /// What became of the requests of each class.
-    pub classes: RefCell<BTreeMap<ClassName, ClassCounts>>,
+    pub class_counts: RefCell<BTreeMap<ClassName, ClassCounts>>,
     /// Usual bytes of a request and its answer, by class.
     pub class_bytes: RefCell<ClassBytes>,
     /// Whether a newer routing table is being fetched from other nodes.
-    pub fetching: Cell<bool>,
+    pub is_fetching_table: Cell<bool>,
     /// Who has told of newer routing tables.
     pub table_sources: RefCell<TableSources>,
     /// How long newer versions have been reported.
     pub version_lag: RefCell<VersionLag>,
     /// Wakes whoever waits for an offer of a newer routing table.
-    pub offer_came: Notify,
+    pub table_offered: Notify,
     /// Whom of its zone this node has offered the routing table in force.
     pub offer_rounds: RefCell<OfferRounds>,
     /// Availability zones that get no requests.
     pub evacuations: EvacuationsInForce,
     /// Wakes whoever waits for a newer routing table.
-    pub table_taken: Notify,
+    pub table_applied: Notify,
     /// Until when this node reads the store in place of one that can't.
-    reads_until: Cell<Timestamp>,
+    substitute_reader_until: Cell<Timestamp>,
     /// Crashes of upstreams that this node counts.
     pub crash_suspects: RefCell<CrashSuspects>,
     /// Requests that are kept from upstreams.
@@ -109,9 +109,9 @@
     /// What the upstream beside the node has answered.
     pub answered_requests: RefCell<AnsweredRequests>,
     /// Requests whose quarantine is to be written to the store as it is then, and who writes it.
-    pub quarantine_orders: (Sender<RequestDigest>, Receiver<RequestDigest>),
+    pub quarantine_writes: (Sender<RequestDigest>, Receiver<RequestDigest>),
     /// Requests picked a service by weight so far; spreads them evenly.
-    pub picks: Cell<u32>,
+    pub service_picks: Cell<u32>,
 }
 
 impl ProxyCore {
@@ -120,10 +120,10 @@
     pub fn new(settings: ProxySettings, timers: TimerService) -> Rc<Self> {
         Rc::new(Self {
             directory: RefCell::new(Directory::default()),
-            records_read: Cell::new(false),
-            records_came: Notify::new(),
+            node_records_read: Cell::new(false),
+            node_records_loaded: Notify::new(),
             stored_record: RefCell::default(),
-            lost_in_era: Cell::default(),
+            record_lost_in_epoch: Cell::default(),
             own_record_lost: Notify::new(),
             local_upstream: RefCell::default(),
             slots: Slots::new(settings.bounds.probes_per_second, timers.now()),
@@ -135,22 +135,22 @@
             counters: ProxyCounters::default(),
             log_writer: LineWriter::new(settings.name.clone(), settings.lines, timers.now()),
             started: timers.now(),
-            classes: RefCell::default(),
+            class_counts: RefCell::default(),
             class_bytes: RefCell::default(),
             bounds: Cell::new(settings.bounds),
-            fetching: Cell::new(false),
+            is_fetching_table: Cell::new(false),
             table_sources: RefCell::default(),
             version_lag: RefCell::default(),
-            offer_came: Notify::new(),
+            table_offered: Notify::new(),
             offer_rounds: RefCell::default(),
             evacuations: EvacuationsInForce::default(),
-            table_taken: Notify::new(),
-            reads_until: Cell::default(),
+            table_applied: Notify::new(),
+            substitute_reader_until: Cell::default(),
             crash_suspects: RefCell::default(),
             quarantine: RefCell::default(),
             answered_requests: RefCell::default(),
-            quarantine_orders: flume::unbounded(),
-            picks: Cell::new(rand::rng().random_range(0..1_000)),
+            quarantine_writes: flume::unbounded(),
+            service_picks: Cell::new(rand::rng().random_range(0..1_000)),
             settings,
             timers,
         })
@@ -198,7 +198,7 @@
         let news = self.directory.borrow_mut().take_table(table);
         if news {
             self.log(&event);
-            self.table_taken.notify_one();
+            self.table_applied.notify_one();
         }
         news
     }
@@ -224,27 +224,27 @@
     }
 
     /// Notes that the store's records of nodes have been read once.
-    pub fn note_records(&self) {
-        self.records_read.set(true);
-        self.records_came.notify_one();
+    pub fn mark_node_records_read(&self) {
+        self.node_records_read.set(true);
+        self.node_records_loaded.notify_one();
     }
 
     /// Whether the store's records of nodes have been read since the start.
     #[must_use]
     pub fn has_records(&self) -> bool {
-        self.records_read.get()
+        self.node_records_read.get()
     }
 
     /// Waits until the store's records of nodes have been read since the start.
-    pub async fn wait_for_records(&self) {
+    pub async fn wait_for_node_records(&self) {
         while !self.has_records() {
-            self.records_came.notified().await;
+            self.node_records_loaded.notified().await;
         }
     }
 
     /// Counts the end of a request of a class.
     pub fn count_class(&self, class: &ClassName, count: impl FnOnce(&mut ClassCounts)) {
-        let mut classes = self.classes.borrow_mut();
+        let mut classes = self.class_counts.borrow_mut();
         match classes.get_mut(class) {
             Some(counts) => count(counts),
             None => count(classes.entry(class.clone()).or_default()),
--- a/src/proxy/core/duties.rs
+++ b/src/proxy/core/duties.rs
@@ -24,7 +24,7 @@
     /// How this node reads a topic of the store next.
     #[must_use]
     pub fn plan_reading(&self, topic: StoreTopic) -> ReadingPlan {
-        let role = if self.stands_in() {
+        let role = if self.is_substitute_reader() {
             ReadingRole::First
         } else {
             self.find_reading_role()
@@ -33,13 +33,13 @@
     }
 
     fn find_reading_role(&self) -> ReadingRole {
-        find_reading_role(self.settings.peers, self.list_zone().into_iter())
+        find_reading_role(self.settings.peers, self.list_zone_nodes().into_iter())
     }
 
     /// Whether this node reads the store in place of one that can't.
     #[must_use]
-    pub fn stands_in(&self) -> bool {
-        self.timers.now() < self.reads_until.get()
+    pub fn is_substitute_reader(&self) -> bool {
+        self.timers.now() < self.substitute_reader_until.get()
     }
 
     /// Whether this node is one of those that read the store for their zone.
@@ -50,7 +50,7 @@
 
     /// Whether this node does what one node of the mesh does.
     #[must_use]
-    pub fn is_first(&self) -> bool {
+    pub fn is_mesh_coordinator(&self) -> bool {
         is_first(
             self.settings.peers,
             self.list_reachable(|_| true).into_iter(),
@@ -65,21 +65,22 @@
     }
 
     /// Reads the store for the zone for a while, in place of a node that can't.
-    pub fn read_for_zone(&self) {
-        self.reads_until.set(self.timers.now() + STANDING_IN);
+    pub fn become_substitute_reader(&self) {
+        self.substitute_reader_until
+            .set(self.timers.now() + STANDING_IN);
     }
 
     /// The other nodes of the zone that can be reached.
     #[must_use]
-    pub fn list_zone(&self) -> Vec<SocketAddr> {
+    pub fn list_zone_nodes(&self) -> Vec<SocketAddr> {
         let own_zone = &self.settings.availability_zone;
         self.list_reachable(|record| record.availability_zone == *own_zone)
     }
 
     /// The other nodes of the zone that can be reached and are not known to have the routing table in force.
     #[must_use]
-    pub fn list_lacking(&self) -> Vec<SocketAddr> {
-        let mut zone = self.list_zone();
+    pub fn list_zone_nodes_without_table(&self) -> Vec<SocketAddr> {
+        let mut zone = self.list_zone_nodes();
         let directory = self.directory.borrow();
         zone.retain(|address| !directory.has_version(*address));
         zone
--- a/src/proxy/crashes.rs
+++ b/src/proxy/crashes.rs
@@ -132,7 +132,7 @@
 /// Writes again the quarantines that the store lost when it came back from a copy, and drops those that it has again though they were
 /// lifted. One node of the mesh does.
 pub fn write_lost_quarantines(core: &ProxyCore, stored: &BTreeSet<RequestDigest>) {
-    if !core.is_first() {
+    if !core.is_mesh_coordinator() {
         return;
     }
     let now = core.timers.now();
@@ -143,7 +143,11 @@
 
 /// Propagates a quarantine to the zone, for nodes that were partitioned when it began.
 pub fn tell_zone_of_quarantine(core: &Rc<ProxyCore>, digest: RequestDigest) {
-    tell(core, &core.list_zone(), CrashFinding::Quarantined(digest));
+    tell(
+        core,
+        &core.list_zone_nodes(),
+        CrashFinding::Quarantined(digest),
+    );
 }
 
 fn put_in_quarantine(
@@ -198,7 +202,7 @@
     let core = Rc::clone(core);
     spawn_local(async move {
         let _ = core.timers.after(QUARANTINE).recv_async().await;
-        if core.is_first() {
+        if core.is_mesh_coordinator() {
             write(&core, digest);
         }
     });
@@ -207,7 +211,7 @@
 /// Schedules a write of the present quarantine state of a request to the store.
 fn write(core: &ProxyCore, digest: RequestDigest) {
     // The receiver lives as long as the sender.
-    let _ = core.quarantine_orders.0.send(digest);
+    let _ = core.quarantine_writes.0.send(digest);
 }
 
 fn take_answered(core: &ProxyCore, digest: RequestDigest) {
@@ -218,7 +222,7 @@
         return;
     };
     core.log(&ProxyEvent::QuarantineLifted { digest });
-    if source == QuarantineSource::Counted || core.is_first() {
+    if source == QuarantineSource::Counted || core.is_mesh_coordinator() {
         write(core, digest);
     }
 }
--- a/src/proxy/entry.rs
+++ b/src/proxy/entry.rs
@@ -233,8 +233,8 @@
 }
 
 fn pick_service(core: &ProxyCore, route: &Route) -> Option<ServiceName> {
-    let pick = core.picks.get().wrapping_add(1);
-    core.picks.set(pick);
+    let pick = core.service_picks.get().wrapping_add(1);
+    core.service_picks.set(pick);
     let position = (f64::from(pick) * GOLDEN_RATIO).fract();
     route.pick_service(position).cloned()
 }
--- a/src/proxy/evacuating.rs
+++ b/src/proxy/evacuating.rs
@@ -133,7 +133,7 @@
             source,
         });
     }
-    if core.is_zone_reader() || core.stands_in() {
+    if core.is_zone_reader() || core.is_substitute_reader() {
         tell_along_tree(core);
     }
 }
@@ -185,7 +185,7 @@
 }
 
 fn tell_along_tree(core: &Rc<ProxyCore>) {
-    let mut receivers = core.list_zone();
+    let mut receivers = core.list_zone_nodes();
     // Both readers of the zone send it; different trees compensate for the loss of a forwarding node.
     receivers.shuffle(&mut rand::rng());
     spread(core, &receivers, &build_message(core));
--- a/src/proxy/following.rs
+++ b/src/proxy/following.rs
@@ -137,7 +137,7 @@
             let plan = core.plan_reading(topic);
             let takes_over = plan.role != ReadingRole::Other && !self.reads.get();
             self.reads.set(plan.role != ReadingRole::Other);
-            if takes_over && !core.stands_in() {
+            if takes_over && !core.is_substitute_reader() {
                 let _ = core.timers.after(TAKE_OVER_PAUSE).recv_async().await;
                 continue;
             }
--- a/src/proxy/following/nodes.rs
+++ b/src/proxy/following/nodes.rs
@@ -67,7 +67,7 @@
             self.forget(|key| !kept.contains(key), records.next);
         }
         core.directory.borrow_mut().note_read(records.next);
-        core.note_records();
+        core.mark_node_records_read();
         if whole {
             news = list_unshared(core, news, own.as_ref());
         }
--- a/src/proxy/following/returning.rs
+++ b/src/proxy/following/returning.rs
@@ -83,7 +83,7 @@
 /// Tells the nodes of the zone where the topic of the configuration goes on, if this node reads for it. They would read the whole
 /// configuration otherwise.
 pub(super) fn tell_zone_of_copy(core: &Rc<ProxyCore>) {
-    if !core.is_zone_reader() && !core.stands_in() {
+    if !core.is_zone_reader() && !core.is_substitute_reader() {
         return;
     }
     let message = StateMessage {
@@ -92,7 +92,7 @@
         from: Some(core.settings.peers),
         ..StateMessage::default()
     };
-    spread(core, &core.list_zone(), &message);
+    spread(core, &core.list_zone_nodes(), &message);
 }
 
 /// Requests that records of nodes hold in quarantine.
@@ -123,7 +123,7 @@
         }
     }
     core.directory.borrow_mut().note_read(next);
-    core.note_records();
+    core.mark_node_records_read();
     write_lost_quarantines(core, quarantined);
     ask_to_write_again(core, &lost, era);
     match (describe_own(core), own_stored) {
@@ -157,8 +157,8 @@
 
 /// Has the record of this node written again, once for each era in which the store has lost it.
 pub fn note_own_record_lost(core: &ProxyCore, era: u64) {
-    if era > core.lost_in_era.get() {
-        core.lost_in_era.set(era);
+    if era > core.record_lost_in_epoch.get() {
+        core.record_lost_in_epoch.set(era);
         core.own_record_lost.notify_one();
     }
 }
--- a/src/proxy/following/starting.rs
+++ b/src/proxy/following/starting.rs
@@ -52,10 +52,10 @@
 }
 
 async fn hear_from_zone(core: &Rc<ProxyCore>) {
-    core.wait_for_records().await;
+    core.wait_for_node_records().await;
     let mut asked_by_reader = 0;
     while core.routes().is_none() && asked_by_reader < ASKED_BY_READER {
-        let zone = core.list_zone();
+        let zone = core.list_zone_nodes();
         if let Some(to) = zone.choose(&mut rand::rng()) {
             fetch_first_table(core, *to).await;
         }
@@ -75,7 +75,7 @@
     let due = core.timers.after(RECORDS_PATIENCE);
     tokio::select! {
         _ = due.recv_async() => {}
-        () = core.wait_for_records() => {}
+        () = core.wait_for_node_records() => {}
     }
 }
 
--- a/src/proxy/following/writing.rs
+++ b/src/proxy/following/writing.rs
@@ -49,7 +49,7 @@
 /// Writes the quarantine of requests as it is then whenever it changes, until dropped.
 pub(super) async fn write_quarantines<S: StateStore>(core: Rc<ProxyCore>, store: S) {
     let mut retries = Retries::new(&core, "quarantine");
-    let (_, orders) = &core.quarantine_orders;
+    let (_, orders) = &core.quarantine_writes;
     while let Ok(digest) = orders.recv_async().await {
         loop {
             let calls = &core.counters.store_calls;
--- a/src/proxy/metrics.rs
+++ b/src/proxy/metrics.rs
@@ -50,7 +50,7 @@
 
 impl NodeFigures {
     fn read(core: &ProxyCore) -> Self {
-        let classes = core.classes.borrow();
+        let classes = core.class_counts.borrow();
         let classes = classes.iter();
         Self {
             counters: read_counters(core),
--- a/src/proxy/operating.rs
+++ b/src/proxy/operating.rs
@@ -118,7 +118,7 @@
 pub fn describe_node(core: &ProxyCore) -> NodeStatus {
     let settings = &core.settings;
     let directory = core.directory.borrow();
-    let classes = core.classes.borrow();
+    let classes = core.class_counts.borrow();
     let classes = classes.iter();
     NodeStatus {
         node: Some(settings.name.clone()),
--- a/src/proxy/retiring.rs
+++ b/src/proxy/retiring.rs
@@ -31,7 +31,7 @@
     let mut asked = core.timers.now();
     loop {
         let _ = core.timers.after(STEP).recv_async().await;
-        if core.is_stopping() || !core.is_first() {
+        if core.is_stopping() || !core.is_mesh_coordinator() {
             watch = RetirementWatch::default();
             let now = core.timers.now();
             if now.since(asked) >= ASK_PREDECESSOR {
--- a/src/proxy/state_sharing.rs
+++ b/src/proxy/state_sharing.rs
@@ -31,7 +31,7 @@
     if records.is_empty() {
         return;
     }
-    let mut receivers = core.list_zone();
+    let mut receivers = core.list_zone_nodes();
     // The other reader of the zone tells it too; with another order the loss of a node that passes on
     // is made up for.
     receivers.shuffle(&mut rand::rng());
@@ -49,7 +49,7 @@
 /// Has a few other nodes of the zone read the store for a while. The store may turn away both nodes that read for
 /// a zone and no others; the rest of the zone would not hear of a change in time.
 pub fn hand_reading_over(core: &Rc<ProxyCore>) {
-    let mut zone = core.list_zone();
+    let mut zone = core.list_zone_nodes();
     zone.shuffle(&mut rand::rng());
     zone.truncate(STAND_INS);
     core.log(&ProxyEvent::ReadingHandedOver { nodes: zone.len() });
@@ -117,7 +117,7 @@
         note_own_record_lost(core, era);
     }
     if message.read_store {
-        core.read_for_zone();
+        core.become_substitute_reader();
     }
     let pass_on = std::mem::take(&mut message.pass_on);
     if let (Some(version), Some(from)) = (message.offered, message.from) {
--- a/src/proxy/table_fetching.rs
+++ b/src/proxy/table_fetching.rs
@@ -37,7 +37,7 @@
     note_report(core, offer.from, offer.version);
     core.table_sources.borrow_mut().note_offer(offer);
     // Wakes only who waits now: an offer that is asked about already must not end a question that comes later.
-    core.offer_came.notify_waiters();
+    core.table_offered.notify_waiters();
     start_fetching(core);
 }
 
@@ -55,13 +55,13 @@
 }
 
 fn start_fetching(core: &Rc<ProxyCore>) {
-    if core.fetching.replace(true) {
+    if core.is_fetching_table.replace(true) {
         return;
     }
     let core = Rc::clone(core);
     spawn_local(async move {
         fetch_until_current(&core).await;
-        core.fetching.set(false);
+        core.is_fetching_table.set(false);
     });
 }
 
@@ -75,13 +75,13 @@
             // Whoever offers the version is nearer than who was heard of by a request.
             FetchStep::AskHeard(from, version) => tokio::select! {
                 () = fetch(core, from, version, own) => {}
-                () = core.offer_came.notified() => {}
+                () = core.table_offered.notified() => {}
             },
             FetchStep::Wait(until) => {
                 let due = core.timers.after(until.since(now));
                 tokio::select! {
                     _ = due.recv_async() => {}
-                    () = core.offer_came.notified() => {}
+                    () = core.table_offered.notified() => {}
                 }
             }
             FetchStep::Done => return,
--- a/src/proxy/table_offering.rs
+++ b/src/proxy/table_offering.rs
@@ -21,7 +21,7 @@
 /// Offers the version in force to nodes of the zone that lack it, until dropped.
 pub async fn keep_zone_current(core: Rc<ProxyCore>) {
     loop {
-        if core.is_zone_reader() || core.stands_in() {
+        if core.is_zone_reader() || core.is_substitute_reader() {
             offer_along_tree(&core);
         }
         let due = core.timers.after(LOOK_PAUSE);
@@ -30,14 +30,14 @@
                 check_neighbours(&core);
                 evacuating::check_neighbours(&core);
             }
-            () = core.table_taken.notified() => {}
+            () = core.table_applied.notified() => {}
         }
     }
 }
 
 fn offer_along_tree(core: &Rc<ProxyCore>) {
     let version = core.directory.borrow().version();
-    let lacking = core.list_lacking();
+    let lacking = core.list_zone_nodes_without_table();
     let mut receivers = core
         .offer_rounds
         .borrow_mut()
