--- a/src/proxy/core.rs
+++ b/src/proxy/core.rs
@@ -3,7 +3,7 @@
 mod counters;
 mod duties;
 
-pub use self::counters::{ProxyCounters, count};
+pub use self::counters::{ProxyCounters, increment};
 
 use crate::{
     coordination::{
@@ -47,7 +47,7 @@
     /// What the node was told at its start.
     pub settings: ProxySettings,
     /// The bounds in force.
-    bounds: Cell<NodeBounds>,
+    limits: Cell<NodeBounds>,
     /// Time and wake-ups.
     pub timers: TimerService,
     /// The routing table in force and the nodes that are known.
@@ -137,7 +137,7 @@
             started: timers.now(),
             class_counts: RefCell::default(),
             class_bytes: RefCell::default(),
-            bounds: Cell::new(settings.bounds),
+            limits: Cell::new(settings.bounds),
             is_fetching_table: Cell::new(false),
             table_sources: RefCell::default(),
             version_lag: RefCell::default(),
@@ -166,13 +166,13 @@
 
     /// The bounds in force.
     #[must_use]
-    pub fn bounds(&self) -> NodeBounds {
-        self.bounds.get()
+    pub fn limits(&self) -> NodeBounds {
+        self.limits.get()
     }
 
     /// Puts other bounds in force.
-    pub fn set_bounds(&self, bounds: NodeBounds) {
-        self.bounds.set(bounds);
+    pub fn set_limits(&self, bounds: NodeBounds) {
+        self.limits.set(bounds);
         self.slots.set_probe_limit(bounds.probes_per_second);
     }
 
@@ -188,7 +188,7 @@
     }
 
     /// Puts a routing table in force if it is newer than the present one; true if it was.
-    pub fn take_table(&self, table: RoutingTable, source: StateSource) -> bool {
+    pub fn apply_table(&self, table: RoutingTable, source: StateSource) -> bool {
         let event = ProxyEvent::TableInForce {
             version: table.version.0,
             before: self.directory.borrow().version().0,
@@ -204,7 +204,7 @@
     }
 
     /// Takes in a record of another node; true if it was news.
-    pub fn take_record(&self, stored: StoredRecord, source: StateSource) -> bool {
+    pub fn apply_record(&self, stored: StoredRecord, source: StateSource) -> bool {
         if stored.record.address == self.settings.peers {
             return false;
         }
--- a/src/proxy/core/counters.rs
+++ b/src/proxy/core/counters.rs
@@ -17,9 +17,9 @@
     /// Requests run at the upstream beside the node.
     pub executed: Cell<u64>,
     /// Requests sent to a second upstream.
-    pub repeats: Cell<u64>,
+    pub retries: Cell<u64>,
     /// Requests that were at the upstream beside the node when it crashed.
-    pub crashed: Cell<u64>,
+    pub aborted_by_crash: Cell<u64>,
     /// Questions to the upstream beside the node for its load.
     pub probes: Cell<u64>,
     /// Bytes of messages with state that came from other nodes.
@@ -31,6 +31,6 @@
 }
 
 /// Adds one.
-pub fn count(counter: &Cell<u64>) {
+pub fn increment(counter: &Cell<u64>) {
     counter.set(counter.get() + 1);
 }
--- a/src/proxy/crashes.rs
+++ b/src/proxy/crashes.rs
@@ -7,7 +7,7 @@
     coordination::crash_keepers::{KEEPERS, order_keepers},
     protocol::hop::{CrashFinding, StateMessage},
     proxy::{
-        core::{ProxyCore, count},
+        core::{ProxyCore, increment},
         events::ProxyEvent,
         executing::has_ended,
         state_messages::{send_state, spread},
@@ -76,7 +76,7 @@
         run,
         ..
     } = cut;
-    count(&core.counters.crashed);
+    increment(&core.counters.aborted_by_crash);
     let answered_before = core.answered_requests.borrow().contains(&run, digest);
     core.log(&ProxyEvent::UpstreamCrashed {
         instance: run.instance.clone(),
--- a/src/proxy/entry.rs
+++ b/src/proxy/entry.rs
@@ -9,7 +9,7 @@
 use crate::{
     protocol::outcome::{RefusalReason, UnknownCause},
     proxy::{
-        core::{ProxyCore, count},
+        core::{ProxyCore, increment},
         crashes::find_quarantine,
         entry::{
             carrier::{Carrier, ClientCall},
@@ -103,7 +103,7 @@
 impl InProgress {
     fn count(core: &Rc<ProxyCore>) -> Self {
         core.in_progress.set(core.in_progress.get() + 1);
-        count(&core.counters.requests);
+        increment(&core.counters.requests);
         Self(Rc::clone(core))
     }
 }
@@ -133,9 +133,9 @@
 ) {
     let counters = &core.counters;
     match end {
-        ClientEnd::Answered(_) => count(&counters.answered),
-        ClientEnd::Refused(..) | ClientEnd::NoRoute => count(&counters.refused),
-        ClientEnd::Unknown(_) => count(&counters.unknown),
+        ClientEnd::Answered(_) => increment(&counters.answered),
+        ClientEnd::Refused(..) | ClientEnd::NoRoute => increment(&counters.refused),
+        ClientEnd::Unknown(_) => increment(&counters.unknown),
     }
     let Some((class, target)) = class else {
         return;
@@ -150,7 +150,7 @@
 /// Whether a request taken now might not have ended before the node is killed.
 fn stops_soon(core: &ProxyCore, now: Timestamp) -> bool {
     let since = core.stopping_since.get();
-    since.is_some_and(|since| now.since(since) > core.bounds().grace.mul_f64(ACCEPTED_SHARE))
+    since.is_some_and(|since| now.since(since) > core.limits().grace.mul_f64(ACCEPTED_SHARE))
 }
 
 async fn carry_request(
@@ -220,7 +220,7 @@
 /// Whether the configuration in force may no longer decide: other nodes have reported a newer one for long, and its
 /// acknowledgement may be older than the report.
 fn is_configuration_overdue(core: &ProxyCore) -> bool {
-    let limit = core.bounds().configuration_apply.mul_f64(REPORTED_SHARE);
+    let limit = core.limits().configuration_apply.mul_f64(REPORTED_SHARE);
     let own = core.directory.borrow().version();
     let lag = core.version_lag.borrow();
     lag.is_overdue(own, core.timers.now(), limit)
--- a/src/proxy/entry/carrier.rs
+++ b/src/proxy/entry/carrier.rs
@@ -12,7 +12,7 @@
         outcome::{RefusalReason, UnknownCause},
     },
     proxy::{
-        core::{ProxyCore, count},
+        core::{ProxyCore, increment},
         crashes::find_quarantine,
         entry::{
             attempt::{Returned, run_attempt},
@@ -167,7 +167,7 @@
         let granted = take_repeat(&self.core, &self.call.service);
         if granted {
             self.paid = self.paid.saturating_add(1);
-            count(&self.core.counters.repeats);
+            increment(&self.core.counters.retries);
         } else {
             self.core.log(&ProxyEvent::RepeatWithheld {
                 request: self.core.read_request_id(&self.call.req.headers),
--- a/src/proxy/executing.rs
+++ b/src/proxy/executing.rs
@@ -14,7 +14,7 @@
         outcome::RefusalReason,
     },
     proxy::{
-        core::{ProxyCore, count},
+        core::{ProxyCore, increment},
         crashes::find_quarantine,
         repeats::{has_room_for_calls, take_calls},
         stop::takes_work,
@@ -95,7 +95,7 @@
     if hop.repeat && !take_calls(core, &hop.class) {
         return refuse(core, RefusalReason::RepeatsSpent, Duration::ZERO);
     }
-    count(&core.counters.executed);
+    increment(&core.counters.executed);
     let started = core
         .calls_per_execution
         .borrow_mut()
--- a/src/proxy/executing/questions.rs
+++ b/src/proxy/executing/questions.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     proxy::{
-        core::{ProxyCore, count},
+        core::{ProxyCore, increment},
         executing::warmth::note_warmth,
     },
     state::{names::ServiceName, placement_view::NodeRecord},
@@ -91,7 +91,7 @@
     if !core.slots.pace.take_question(core.timers.now()) {
         return Err(QuestionError::OutOfBudget);
     }
-    count(&core.counters.probes);
+    increment(&core.counters.probes);
     let mut request = Request::new(Full::default());
     *request.uri_mut() = uri;
     let rules = SendOptions {
--- a/src/proxy/executing/warmth.rs
+++ b/src/proxy/executing/warmth.rs
@@ -20,7 +20,7 @@
     let Some(cold) = find_cold_service(core, service).filter(|_| !left.is_zero()) else {
         return;
     };
-    let limit = core.bounds().slow_start.limit(cold.requests_per_minute);
+    let limit = core.limits().slow_start.limit(cold.requests_per_minute);
     let told = ToldColdTime {
         left,
         lasts: cold.lasts,
--- a/src/proxy/following/configuration.rs
+++ b/src/proxy/following/configuration.rs
@@ -47,7 +47,7 @@
             match self.store.decode_table(record) {
                 Some(Ok(table)) => {
                     let version = table.version;
-                    core.take_table(table, StateSource::Store);
+                    core.apply_table(table, StateSource::Store);
                     let next = record.position.saturating_add(1);
                     let mut directory = core.directory.borrow_mut();
                     directory.note_stored_table(StoredTable { version, next });
--- a/src/proxy/following/nodes.rs
+++ b/src/proxy/following/nodes.rs
@@ -53,7 +53,7 @@
             };
             if stored.record.address == core.settings.peers {
                 own = Some(stored);
-            } else if core.take_record(stored.clone(), StateSource::Store) {
+            } else if core.apply_record(stored.clone(), StateSource::Store) {
                 news.push(stored);
             }
         }
--- a/src/proxy/following/returning.rs
+++ b/src/proxy/following/returning.rs
@@ -119,7 +119,7 @@
         let address = stored.record.address;
         let is_known = core.directory.borrow().nodes.contains_key(&address);
         if !is_known {
-            core.take_record(stored, StateSource::Store);
+            core.apply_record(stored, StateSource::Store);
         }
     }
     core.directory.borrow_mut().note_read(next);
--- a/src/proxy/metrics.rs
+++ b/src/proxy/metrics.rs
@@ -155,12 +155,12 @@
         figure(
             "repeats",
             "Requests sent to a further upstream",
-            counters.repeats.get(),
+            counters.retries.get(),
         ),
         figure(
             "crashed",
             "Requests that were at the upstream when it crashed",
-            counters.crashed.get(),
+            counters.aborted_by_crash.get(),
         ),
         figure(
             "probes",
--- a/src/proxy/publishing.rs
+++ b/src/proxy/publishing.rs
@@ -94,7 +94,7 @@
     request: &PublicationRequest,
 ) -> PublicationOutcome {
     let version = record.entry.version;
-    core.take_table(
+    core.apply_table(
         record.configuration.build_table(version),
         StateSource::Operator,
     );
--- a/src/proxy/repeats.rs
+++ b/src/proxy/repeats.rs
@@ -18,7 +18,7 @@
         .note_request(service, now);
     let mut budgets = core.retry_budgets.borrow_mut();
     let budget = budgets.entry(service.clone()).or_default();
-    budget.count_request(now, core.bounds().repeats);
+    budget.count_request(now, core.limits().repeats);
 }
 
 /// Takes one repeat at a service; false if the budget does not hold it.
@@ -83,7 +83,7 @@
 
 fn find_share(core: &ProxyCore) -> RepeatShare {
     RepeatShare {
-        rules: core.bounds().repeats,
+        rules: core.limits().repeats,
         nodes: core.directory.borrow().nodes.len(),
         uptime: core.timers.now().since(core.started),
     }
--- a/src/proxy/state_sharing.rs
+++ b/src/proxy/state_sharing.rs
@@ -143,6 +143,6 @@
         take_finding(core, finding);
     }
     for stored in message.nodes {
-        core.take_record(stored, StateSource::Peer);
+        core.apply_record(stored, StateSource::Peer);
     }
 }
--- a/src/proxy/stop.rs
+++ b/src/proxy/stop.rs
@@ -32,7 +32,7 @@
         return true;
     };
     let stopping = core.timers.now().since(since);
-    let latest = core.bounds().grace.saturating_sub(MARGIN);
+    let latest = core.limits().grace.saturating_sub(MARGIN);
     stopping <= WORK_TAKEN && stopping + time_left <= latest
 }
 
@@ -44,7 +44,7 @@
         in_progress: core.in_progress.get(),
         running: core.slots.load().running,
     });
-    let latest = since + core.bounds().grace.saturating_sub(MARGIN);
+    let latest = since + core.limits().grace.saturating_sub(MARGIN);
     let mut idle_looks = 0;
     while idle_looks < IDLE_LOOKS && core.timers.now() < latest {
         let _ = core.timers.after(STEP).recv_async().await;
--- a/src/proxy/table_fetching.rs
+++ b/src/proxy/table_fetching.rs
@@ -8,7 +8,7 @@
     coordination::table_sources::{FetchStep, TableOffer},
     protocol::hop::StateMessage,
     proxy::{
-        core::{ProxyCore, count},
+        core::{ProxyCore, increment},
         directory::StateSource,
         evacuating::take_told_evacuations,
         events::{ProxyEvent, in_millis},
@@ -175,7 +175,7 @@
     };
     let news = change.version > core.directory.borrow().version();
     if !news {
-        count(&core.counters.stale_tables);
+        increment(&core.counters.stale_tables);
     }
     core.log(&ProxyEvent::TableReceived {
         from,
@@ -189,7 +189,7 @@
 
 fn take_fetched(core: &ProxyCore, answer: StateMessage) -> Result<(), ChangeError> {
     for stored in answer.nodes {
-        core.take_record(stored, StateSource::Peer);
+        core.apply_record(stored, StateSource::Peer);
     }
     let Some(change) = answer.change else {
         return Ok(());
@@ -197,7 +197,7 @@
     let is_news = change.version > core.directory.borrow().version();
     if is_news {
         let table = core.directory.borrow().apply_change(&change)?;
-        core.take_table(table, StateSource::Peer);
+        core.apply_table(table, StateSource::Peer);
     }
     if let Some(stored) = answer.stored_table {
         core.directory.borrow_mut().note_stored_table(stored);
