--- a/src/protocol/hop.rs
+++ b/src/protocol/hop.rs
@@ -24,9 +24,9 @@
 pub const STATE_HEADER: &str = "x-state";
 
 /// Flag of a request that may run twice.
-const IDEMPOTENT: u8 = 1;
+const IDEMPOTENT_FLAG: u8 = 1;
 /// Flag of a request that was sent to another upstream before.
-const REPEAT: u8 = 2;
+const RETRY_FLAG: u8 = 2;
 
 /// Sent with a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -40,7 +40,7 @@
     /// Time until the deadline.
     pub time_left: Duration,
     /// Time in which it has to end to be taken; zero if it wants a slot at once or none.
-    pub within: Duration,
+    pub finish_within: Duration,
     /// Time in which it is to end to be on time; zero if that is over.
     pub target_left: Duration,
     /// Rank; 0 goes first.
@@ -48,16 +48,16 @@
     /// Whether running it twice does no harm.
     pub idempotent: bool,
     /// Whether it was sent to another upstream before.
-    pub repeat: bool,
+    pub is_retry: bool,
     /// Version of the routing table that the sender has in force.
     pub version: ConfigurationVersion,
     /// Where the sender takes messages from nodes.
-    pub from: SocketAddr,
+    pub sender: SocketAddr,
 }
 
 /// How the attempt ended, as the node beside the upstream knows it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum AttemptOutcome {
     /// The message is the upstream's answer.
     Answered,
     /// It did not run.
@@ -70,13 +70,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HopAnswer {
     /// How the attempt ended.
-    pub verdict: Verdict,
+    pub outcome: AttemptOutcome,
     /// Load of the upstream now.
     pub load: NodeLoad,
     /// Version of the routing table that the answering node has in force.
     pub version: ConfigurationVersion,
     /// After a refusal, the time in which it would have ended; else the time that it waited for a slot.
-    pub finish: Duration,
+    pub finish_or_wait: Duration,
 }
 
 impl HopRequest {
@@ -89,19 +89,19 @@
             self.class,
             self.caller,
             self.time_left.as_millis(),
-            self.within.as_millis(),
+            self.finish_within.as_millis(),
             self.target_left.as_millis(),
             self.priority,
             self.flags(),
             self.version.0,
-            self.from,
+            self.sender,
         )
     }
 
     fn flags(&self) -> u8 {
-        let idempotent = if self.idempotent { IDEMPOTENT } else { 0 };
-        let repeat = if self.repeat { REPEAT } else { 0 };
-        idempotent | repeat
+        let idempotent = if self.idempotent { IDEMPOTENT_FLAG } else { 0 };
+        let retry = if self.is_retry { RETRY_FLAG } else { 0 };
+        idempotent | retry
     }
 
     /// Reads the header's value; none if it is malformed.
@@ -109,7 +109,7 @@
     pub fn decode(text: &str) -> Option<Self> {
         let mut parts = text.split(';');
         let (service, class, caller) = (parts.next()?, parts.next()?, parts.next()?);
-        let (time_left, within) = (parts.next()?.parse().ok()?, parts.next()?.parse().ok()?);
+        let (time_left, finish_within) = (parts.next()?.parse().ok()?, parts.next()?.parse().ok()?);
         let target_left = parts.next()?.parse().ok()?;
         let priority = parts.next()?.parse().ok()?;
         let flags: u8 = parts.next()?.parse().ok()?;
@@ -118,13 +118,13 @@
             class: class.into(),
             caller: caller.into(),
             time_left: Duration::from_millis(time_left),
-            within: Duration::from_millis(within),
+            finish_within: Duration::from_millis(finish_within),
             target_left: Duration::from_millis(target_left),
             priority,
-            idempotent: flags & IDEMPOTENT != 0,
-            repeat: flags & REPEAT != 0,
+            idempotent: flags & IDEMPOTENT_FLAG != 0,
+            is_retry: flags & RETRY_FLAG != 0,
             version: ConfigurationVersion(parts.next()?.parse().ok()?),
-            from: parts.next()?.parse().ok()?,
+            sender: parts.next()?.parse().ok()?,
         };
         parts.next().is_none().then_some(request)
     }
@@ -137,14 +137,14 @@
         let load = self.load;
         format!(
             "{};{};{};{};{};{};{};{}",
-            encode_verdict(self.verdict),
+            encode_outcome(self.outcome),
             load.running,
             load.queued,
             load.limit,
             load.slowdown_percent,
             load.failed_percent,
             self.version.0,
-            self.finish.as_millis(),
+            self.finish_or_wait.as_millis(),
         )
     }
 
@@ -153,7 +153,7 @@
     pub fn decode(text: &str) -> Option<Self> {
         let mut parts = text.split(';');
         let answer = Self {
-            verdict: decode_verdict(parts.next()?)?,
+            outcome: decode_outcome(parts.next()?)?,
             load: NodeLoad {
                 running: parts.next()?.parse().ok()?,
                 queued: parts.next()?.parse().ok()?,
@@ -162,40 +162,40 @@
                 failed_percent: parts.next()?.parse().ok()?,
             },
             version: ConfigurationVersion(parts.next()?.parse().ok()?),
-            finish: Duration::from_millis(parts.next()?.parse().ok()?),
+            finish_or_wait: Duration::from_millis(parts.next()?.parse().ok()?),
         };
         parts.next().is_none().then_some(answer)
     }
 }
 
-fn encode_verdict(verdict: Verdict) -> String {
-    match verdict {
-        Verdict::Answered => "a".to_owned(),
-        Verdict::Refused(reason) => format!("r:{}", name_of(&reason)),
-        Verdict::Unknown(cause) => format!("u:{}", name_of(&cause)),
+fn encode_outcome(outcome: AttemptOutcome) -> String {
+    match outcome {
+        AttemptOutcome::Answered => "a".to_owned(),
+        AttemptOutcome::Refused(reason) => format!("r:{}", get_variant_name(&reason)),
+        AttemptOutcome::Unknown(cause) => format!("u:{}", get_variant_name(&cause)),
     }
 }
 
-fn decode_verdict(text: &str) -> Option<Verdict> {
+fn decode_outcome(text: &str) -> Option<AttemptOutcome> {
     if text == "a" {
-        return Some(Verdict::Answered);
+        return Some(AttemptOutcome::Answered);
     }
     match text.split_once(':')? {
-        ("r", name) => Some(Verdict::Refused(by_name(name)?)),
-        ("u", name) => Some(Verdict::Unknown(by_name(name)?)),
+        ("r", name) => Some(AttemptOutcome::Refused(parse_variant(name)?)),
+        ("u", name) => Some(AttemptOutcome::Unknown(parse_variant(name)?)),
         _ => None,
     }
 }
 
 /// The name that a variant has in JSON.
 #[must_use]
-pub fn name_of(value: &impl Serialize) -> String {
+pub fn get_variant_name(value: &impl Serialize) -> String {
     let json = serde_json::to_value(value).ok();
     let name = json.as_ref().and_then(serde_json::Value::as_str);
     name.unwrap_or("other").to_owned()
 }
 
-fn by_name<T: DeserializeOwned>(name: &str) -> Option<T> {
+fn parse_variant<T: DeserializeOwned>(name: &str) -> Option<T> {
     serde_json::from_value(serde_json::Value::from(name)).ok()
 }
 
@@ -213,9 +213,11 @@
     /// An upstream crashed while it ran a request. The receiver counts the crashes under it.
     Crashed {
         /// What the request asks for.
-        digest: RequestDigest,
+        #[serde(rename = "digest")]
+        fingerprint: RequestDigest,
         /// The run that crashed.
-        run: RunIdentity,
+        #[serde(rename = "run")]
+        incarnation: RunIdentity,
     },
     /// The request is what crashes the upstreams.
     Quarantined(RequestDigest),
@@ -242,20 +244,20 @@
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub stored_table: Option<StoredTable>,
     /// The sender has this version in force and can be asked for it.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub offered: Option<ConfigurationVersion>,
+    #[serde(rename = "offered", default, skip_serializing_if = "Option::is_none")]
+    pub offered_version: Option<ConfigurationVersion>,
     /// Where the sender takes messages from nodes.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub from: Option<SocketAddr>,
+    #[serde(rename = "from", default, skip_serializing_if = "Option::is_none")]
+    pub sender: Option<SocketAddr>,
     /// Records of nodes. One that can't be read is left out.
     #[serde(default, deserialize_with = "read_records")]
     pub nodes: Vec<StoredRecord>,
     /// Nodes that the receiver is to pass the message on to.
-    #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub pass_on: Vec<SocketAddr>,
+    #[serde(rename = "pass_on", default, skip_serializing_if = "Vec::is_empty")]
+    pub forward_to: Vec<SocketAddr>,
     /// The receiver is to answer with what is newer than this version.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub wanted: Option<ConfigurationVersion>,
+    #[serde(rename = "wanted", default, skip_serializing_if = "Option::is_none")]
+    pub changes_since: Option<ConfigurationVersion>,
     /// The sender has read the records of nodes; they need not be told with the answer.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub has_records: bool,
@@ -263,11 +265,11 @@
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub read_store: bool,
     /// The receiver is to find out whether it reaches that node.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub reaches: Option<SocketAddr>,
+    #[serde(rename = "reaches", default, skip_serializing_if = "Option::is_none")]
+    pub check_peer: Option<SocketAddr>,
     /// Whether it does.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub reached: Option<bool>,
+    #[serde(rename = "reached", default, skip_serializing_if = "Option::is_none")]
+    pub peer_reachable: Option<bool>,
     /// Evacuated availability zones, as the sender knows them.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub evacuations: Option<Rc<Evacuations>>,
@@ -275,8 +277,12 @@
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub evacuations_position: Option<u64>,
     /// The store lost the receiver's record when it came back from a copy in this era. The receiver is to write it again.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub lost_in_era: Option<u64>,
+    #[serde(
+        rename = "lost_in_era",
+        default,
+        skip_serializing_if = "Option::is_none"
+    )]
+    pub lost_in_epoch: Option<u64>,
     /// What the sender has found out about a request at crashes of upstreams.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub finding: Option<Rc<CrashFinding>>,
--- a/src/protocol/outcome.rs
+++ b/src/protocol/outcome.rs
@@ -31,7 +31,8 @@
     /// The node's upstream is not of the service.
     UnknownClass,
     /// It would be a repeat, and the calls that it makes again are not within what operators allow.
-    RepeatsSpent,
+    #[serde(rename = "repeats_spent")]
+    RetryBudgetExhausted,
     /// Upstreams that ran a request for the same thing have crashed.
     Quarantined,
 }
@@ -39,7 +40,7 @@
 impl RefusalReason {
     /// Whether the node that refused so takes no work at all for a while.
     #[must_use]
-    pub const fn is_of_node(self) -> bool {
+    pub const fn is_node_wide(self) -> bool {
         matches!(
             self,
             Self::Draining
@@ -56,7 +57,8 @@
 #[serde(rename_all = "snake_case")]
 pub enum UnknownCause {
     /// The connection to the upstream broke after the request was handed to it.
-    UpstreamCut,
+    #[serde(rename = "upstream_cut")]
+    UpstreamDisconnected,
     /// The upstream ended while it ran the request.
     UpstreamCrashed,
     /// The deadline passed while the upstream ran it.
--- a/src/proxy/crashes.rs
+++ b/src/proxy/crashes.rs
@@ -87,7 +87,14 @@
     if answered_before || Mechanism::Quarantine.is_off() {
         return;
     }
-    tell_keepers(core, digest, CrashFinding::Crashed { digest, run });
+    tell_keepers(
+        core,
+        digest,
+        CrashFinding::Crashed {
+            fingerprint: digest,
+            incarnation: run,
+        },
+    );
 }
 
 /// Records a response from the local upstream.
@@ -116,7 +123,10 @@
 /// Applies a finding that another node reports.
 pub fn take_finding(core: &Rc<ProxyCore>, finding: &CrashFinding) {
     match finding {
-        CrashFinding::Crashed { digest, run } => count_crash(core, *digest, run),
+        CrashFinding::Crashed {
+            fingerprint: digest,
+            incarnation: run,
+        } => count_crash(core, *digest, run),
         CrashFinding::Quarantined(digest) => {
             put_in_quarantine(core, *digest, QuarantineSource::Told);
         }
--- a/src/proxy/entry/attempt.rs
+++ b/src/proxy/entry/attempt.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     protocol::{
-        hop::{HopRequest, Verdict},
+        hop::{AttemptOutcome, HopRequest},
         outcome::{RefusalReason, UnknownCause},
     },
     proxy::{
@@ -41,7 +41,7 @@
     to: SocketAddr,
     hop: HopRequest,
 ) -> Returned {
-    let outstanding = Outstanding::count(&core, &call, attempts, to, hop.within);
+    let outstanding = Outstanding::count(&core, &call, attempts, to, hop.finish_within);
     let result = if to == core.settings.peers {
         Ok(execute(&core, &hop, copy_request(&call.req)).await)
     } else {
@@ -63,18 +63,24 @@
 fn read_answer(result: &Result<Executed, SendError>, refused: bool) -> u64 {
     result.as_ref().map_or(0, |executed| {
         let answer = &executed.answer;
-        let fits = matches!(answer.verdict, Verdict::Refused(_)) == refused;
-        if fits { in_millis(answer.finish) } else { 0 }
+        let fits = matches!(answer.outcome, AttemptOutcome::Refused(_)) == refused;
+        if fits {
+            in_millis(answer.finish_or_wait)
+        } else {
+            0
+        }
     })
 }
 
 fn describe_end(result: &Result<Executed, SendError>) -> LoggedEnd {
     match result {
-        Ok(executed) => match (executed.answer.verdict, &executed.response) {
-            (Verdict::Answered, Some(response)) => LoggedEnd::Answered(response.status().as_u16()),
-            (Verdict::Answered, None) => LoggedEnd::Unknown(UnknownCause::BadAnswer),
-            (Verdict::Refused(reason), _) => LoggedEnd::Refused(reason),
-            (Verdict::Unknown(cause), _) => LoggedEnd::Unknown(cause),
+        Ok(executed) => match (executed.answer.outcome, &executed.response) {
+            (AttemptOutcome::Answered, Some(response)) => {
+                LoggedEnd::Answered(response.status().as_u16())
+            }
+            (AttemptOutcome::Answered, None) => LoggedEnd::Unknown(UnknownCause::BadAnswer),
+            (AttemptOutcome::Refused(reason), _) => LoggedEnd::Refused(reason),
+            (AttemptOutcome::Unknown(cause), _) => LoggedEnd::Unknown(cause),
         },
         Err(SendError::NotSent) => LoggedEnd::NotSent,
         Err(_) => LoggedEnd::Unknown(UnknownCause::NodeLost),
@@ -168,7 +174,7 @@
         };
         view.note_heard(now);
         view.load = Some((executed.answer.load, now));
-        if let Verdict::Refused(reason) = executed.answer.verdict {
+        if let AttemptOutcome::Refused(reason) = executed.answer.outcome {
             pause_after_refusal(view, reason, now);
         }
     }
@@ -209,7 +215,7 @@
 
 /// A node whose upstream takes no work at all is left out for a while.
 fn pause_after_refusal(view: &mut NodeView, reason: RefusalReason, now: Timestamp) {
-    if !Mechanism::LeavingOut.is_off() && reason.is_of_node() {
+    if !Mechanism::LeavingOut.is_off() && reason.is_node_wide() {
         view.paused_until = now + REFUSAL_PAUSE;
     }
 }
--- a/src/proxy/entry/carrier.rs
+++ b/src/proxy/entry/carrier.rs
@@ -220,13 +220,13 @@
             class: self.call.route.class.clone(),
             caller: self.core.settings.service.clone(),
             time_left: self.call.deadline.since(now),
-            within,
+            finish_within: within,
             target_left: self.call.route.target.saturating_sub(spent),
             priority: self.call.route.priority,
             idempotent: self.call.route.idempotent,
-            repeat: self.attempts.arrivals() > 0 || !self.under_way.is_empty(),
+            is_retry: self.attempts.arrivals() > 0 || !self.under_way.is_empty(),
             version: self.core.directory.borrow().version(),
-            from: self.core.settings.peers,
+            sender: self.core.settings.peers,
         };
         let core = Rc::clone(&self.core);
         let call = Rc::clone(&self.call);
--- a/src/proxy/entry/carrier/judging.rs
+++ b/src/proxy/entry/carrier/judging.rs
@@ -3,7 +3,7 @@
 use crate::{
     coordination::slot_search::Offer,
     protocol::{
-        hop::{HopAnswer, Verdict},
+        hop::{AttemptOutcome, HopAnswer},
         outcome::{RefusalReason, UnknownCause},
     },
     proxy::{
@@ -51,34 +51,36 @@
         answer: HopAnswer,
         response: Option<Response<Bytes>>,
     ) -> Step {
-        match (answer.verdict, response) {
-            (Verdict::Answered, Some(response)) => {
+        match (answer.outcome, response) {
+            (AttemptOutcome::Answered, Some(response)) => {
                 self.attempts.count_arrival();
                 self.judge_response(response)
             }
-            (Verdict::Answered, None) => {
+            (AttemptOutcome::Answered, None) => {
                 self.attempts.count_arrival();
                 self.judge_unknown(UnknownCause::BadAnswer)
             }
-            (Verdict::Unknown(cause), _) => {
+            (AttemptOutcome::Unknown(cause), _) => {
                 self.attempts.count_arrival();
                 self.judge_unknown(cause)
             }
-            (Verdict::Refused(RefusalReason::UpstreamShed), _) => {
+            (AttemptOutcome::Refused(RefusalReason::UpstreamShed), _) => {
                 self.attempts.count_arrival();
                 self.last_refusal = RefusalReason::UpstreamShed;
                 Step::Repeat
             }
-            (Verdict::Refused(RefusalReason::Quarantined), _) if self.under_way.is_empty() => {
-                let end = ClientEnd::Refused(RefusalReason::Quarantined, answer.finish);
+            (AttemptOutcome::Refused(RefusalReason::Quarantined), _)
+                if self.under_way.is_empty() =>
+            {
+                let end = ClientEnd::Refused(RefusalReason::Quarantined, answer.finish_or_wait);
                 Step::End(self.earlier.take().unwrap_or(end))
             }
-            (Verdict::Refused(reason), _) => {
+            (AttemptOutcome::Refused(reason), _) => {
                 self.last_refusal = reason;
                 if reason == RefusalReason::QueueFull {
-                    self.note_offer(to, answer.finish);
+                    self.note_offer(to, answer.finish_or_wait);
                 }
-                if reason.is_of_node() {
+                if reason.is_node_wide() {
                     self.search.reopen();
                 }
                 Step::Elsewhere
--- a/src/proxy/evacuating.rs
+++ b/src/proxy/evacuating.rs
@@ -217,7 +217,7 @@
 fn build_message(core: &ProxyCore) -> StateMessage {
     StateMessage {
         evacuations: core.evacuations.describe(),
-        from: Some(core.settings.peers),
+        sender: Some(core.settings.peers),
         ..StateMessage::default()
     }
 }
--- a/src/proxy/executing.rs
+++ b/src/proxy/executing.rs
@@ -10,7 +10,7 @@
 use crate::{
     coordination::slot_queue::{SlotDecision, SlotRequest},
     protocol::{
-        hop::{HopAnswer, HopRequest, Verdict},
+        hop::{AttemptOutcome, HopAnswer, HopRequest},
         outcome::RefusalReason,
     },
     proxy::{
@@ -64,8 +64,8 @@
     if let Some((reason, finish)) = find_refusal(core, hop, digest) {
         return refuse(core, reason, finish);
     }
-    if hop.repeat && !has_room_for_calls(core, &hop.class) {
-        return refuse(core, RefusalReason::RepeatsSpent, Duration::ZERO);
+    if hop.is_retry && !has_room_for_calls(core, &hop.class) {
+        return refuse(core, RefusalReason::RetryBudgetExhausted, Duration::ZERO);
     }
     refresh_pace(core).await;
     refresh_warmth(core).await;
@@ -92,21 +92,21 @@
     let Some(time_left) = hop.time_left.checked_sub(waited) else {
         return refuse(core, RefusalReason::DeadlinePassed, Duration::ZERO);
     };
-    if hop.repeat && !take_calls(core, &hop.class) {
-        return refuse(core, RefusalReason::RepeatsSpent, Duration::ZERO);
+    if hop.is_retry && !take_calls(core, &hop.class) {
+        return refuse(core, RefusalReason::RetryBudgetExhausted, Duration::ZERO);
     }
     increment(&core.counters.executed);
     let started = core
         .calls_per_execution
         .borrow_mut()
         .note_start(&hop.class, core.timers.now());
-    let (verdict, response) = dispatch(core, hop, req, digest, time_left).await;
+    let (outcome, response) = dispatch(core, hop, req, digest, time_left).await;
     drop(slot);
     core.calls_per_execution
         .borrow_mut()
         .note_end(&hop.class, &started);
     Executed {
-        answer: describe(core, verdict, waited),
+        answer: describe(core, outcome, waited),
         response,
     }
 }
@@ -116,7 +116,7 @@
     let spent = now.since(arrived);
     let request = SlotRequest {
         priority: hop.priority,
-        within: hop.within.saturating_sub(spent),
+        within: hop.finish_within.saturating_sub(spent),
         target_left: hop.target_left.saturating_sub(spent),
         time_left: hop.time_left.saturating_sub(spent),
         expected: core.slots.expect(&hop.class),
@@ -160,16 +160,16 @@
 
 fn refuse(core: &ProxyCore, reason: RefusalReason, finish: Duration) -> Executed {
     Executed {
-        answer: describe(core, Verdict::Refused(reason), finish),
+        answer: describe(core, AttemptOutcome::Refused(reason), finish),
         response: None,
     }
 }
 
-fn describe(core: &ProxyCore, verdict: Verdict, finish: Duration) -> HopAnswer {
+fn describe(core: &ProxyCore, outcome: AttemptOutcome, finish: Duration) -> HopAnswer {
     HopAnswer {
-        verdict,
+        outcome,
         load: core.slots.load(),
         version: core.directory.borrow().version(),
-        finish,
+        finish_or_wait: finish,
     }
 }
--- a/src/proxy/executing/attempt_line.rs
+++ b/src/proxy/executing/attempt_line.rs
@@ -1,7 +1,7 @@
 //! The line of the log about an attempt at this node's upstream.
 
 use crate::{
-    protocol::hop::{HopRequest, Verdict},
+    protocol::hop::{AttemptOutcome, HopRequest},
     proxy::{
         core::ProxyCore,
         events::{LoggedEnd, ProxyEvent, in_millis},
@@ -41,7 +41,7 @@
         Self {
             request: core.read_request_id(&req.headers),
             digest,
-            from: hop.from,
+            from: hop.sender,
             class: hop.class.clone(),
             arrived: core.timers.now(),
             pace_percent: load.slowdown_percent,
@@ -79,10 +79,10 @@
             .response
             .as_ref()
             .map_or(0, |response| response.status().as_u16());
-        self.write(match executed.answer.verdict {
-            Verdict::Answered => LoggedEnd::Answered(status),
-            Verdict::Refused(reason) => LoggedEnd::Refused(reason),
-            Verdict::Unknown(cause) => LoggedEnd::Unknown(cause),
+        self.write(match executed.answer.outcome {
+            AttemptOutcome::Answered => LoggedEnd::Answered(status),
+            AttemptOutcome::Refused(reason) => LoggedEnd::Refused(reason),
+            AttemptOutcome::Unknown(cause) => LoggedEnd::Unknown(cause),
         });
     }
 
--- a/src/proxy/executing/dispatch.rs
+++ b/src/proxy/executing/dispatch.rs
@@ -4,7 +4,7 @@
     options::proxy_settings::HeaderNames,
     protocol::{
         headers::remove_hop_by_hop,
-        hop::{HOP_HEADER, HopRequest, Verdict},
+        hop::{AttemptOutcome, HOP_HEADER, HopRequest},
         outcome::{RefusalReason, UnknownCause},
     },
     proxy::{
@@ -45,20 +45,20 @@
     req: CallerRequest,
     digest: RequestDigest,
     time_left: Duration,
-) -> (Verdict, Option<Response<Bytes>>) {
+) -> (AttemptOutcome, Option<Response<Bytes>>) {
     let Some(run) = core
         .local_upstream
         .borrow()
         .serving()
         .map(|run| run.identity.clone())
     else {
-        return (Verdict::Refused(RefusalReason::Draining), None);
+        return (AttemptOutcome::Refused(RefusalReason::Draining), None);
     };
     let names = &core.settings.headers;
     let id = req.headers.get(&names.request_id).cloned();
     let request_id = core.read_request_id(&req.headers);
     let Some(request) = build_request(names, req, hop, &run.instance, time_left) else {
-        return (Verdict::Refused(RefusalReason::NotSent), None);
+        return (AttemptOutcome::Refused(RefusalReason::NotSent), None);
     };
     let rules = SendOptions {
         reuse: ConnectionReuse::for_request(hop.idempotent || Mechanism::FreshConnections.is_off()),
@@ -76,7 +76,7 @@
         sent = core.outgoing.send(address, request, rules, is_answer) => sent,
         _ = deadline.recv_async() => {
             core.slots.observe_end(true);
-            return (Verdict::Unknown(UnknownCause::DeadlinePassed), None);
+            return (AttemptOutcome::Unknown(UnknownCause::DeadlinePassed), None);
         }
     };
     let now = core.timers.now();
@@ -90,9 +90,9 @@
     });
     if is_crash(core, cut).await {
         core.slots.observe_end(true);
-        return (Verdict::Unknown(UnknownCause::UpstreamCrashed), None);
+        return (AttemptOutcome::Unknown(UnknownCause::UpstreamCrashed), None);
     }
-    if result.0 == Verdict::Answered {
+    if result.0 == AttemptOutcome::Answered {
         note_answered_here(core, digest, &run);
     }
     let status = result.1.as_ref().map(Response::status);
@@ -125,15 +125,18 @@
     core: &Rc<ProxyCore>,
     sent: Result<Response<Bytes>, SendError>,
     instance: &str,
-) -> (Verdict, Option<Response<Bytes>>) {
+) -> (AttemptOutcome, Option<Response<Bytes>>) {
     match sent {
         Ok(response) => judge_response(core, response, instance),
         Err(SendError::NotSent) => {
             pause(core);
-            (Verdict::Refused(RefusalReason::NotSent), None)
+            (AttemptOutcome::Refused(RefusalReason::NotSent), None)
         }
-        Err(SendError::Disconnected) => (Verdict::Unknown(UnknownCause::UpstreamCut), None),
-        Err(SendError::BadAnswer) => (Verdict::Unknown(UnknownCause::BadAnswer), None),
+        Err(SendError::Disconnected) => (
+            AttemptOutcome::Unknown(UnknownCause::UpstreamDisconnected),
+            None,
+        ),
+        Err(SendError::BadAnswer) => (AttemptOutcome::Unknown(UnknownCause::BadAnswer), None),
     }
 }
 
@@ -141,7 +144,7 @@
     core: &Rc<ProxyCore>,
     response: Response<Bytes>,
     instance: &str,
-) -> (Verdict, Option<Response<Bytes>>) {
+) -> (AttemptOutcome, Option<Response<Bytes>>) {
     let names = &core.settings.headers;
     note_load(core, response.headers());
     if response.status() == StatusCode::MISDIRECTED_REQUEST {
@@ -150,17 +153,17 @@
             instance: instance.to_owned(),
         });
         core.local_upstream.borrow_mut().disown(instance);
-        return (Verdict::Refused(RefusalReason::UpstreamShed), None);
+        return (AttemptOutcome::Refused(RefusalReason::UpstreamShed), None);
     }
     if response.headers().contains_key(&names.not_executed) {
-        return (Verdict::Refused(RefusalReason::UpstreamShed), None);
+        return (AttemptOutcome::Refused(RefusalReason::UpstreamShed), None);
     }
     let signed = response.headers().contains_key(&names.signature);
     let encoded = response.headers().contains_key(CONTENT_ENCODING);
     if encoded || (response.status().is_success() && !signed) {
-        return (Verdict::Unknown(UnknownCause::BadAnswer), None);
+        return (AttemptOutcome::Unknown(UnknownCause::BadAnswer), None);
     }
-    (Verdict::Answered, Some(response))
+    (AttemptOutcome::Answered, Some(response))
 }
 
 /// Whether an answer is that of the request with `id`. An answer to an earlier request may still
--- a/src/proxy/following/returning.rs
+++ b/src/proxy/following/returning.rs
@@ -89,7 +89,7 @@
     let message = StateMessage {
         evacuations: core.evacuations.describe(),
         stored_table: core.directory.borrow().stored_table(),
-        from: Some(core.settings.peers),
+        sender: Some(core.settings.peers),
         ..StateMessage::default()
     };
     spread(core, &core.list_zone_nodes(), &message);
@@ -149,7 +149,7 @@
     });
     let asked: Vec<SocketAddr> = asked.map(|record| record.address).collect();
     let message = StateMessage {
-        lost_in_era: Some(era),
+        lost_in_epoch: Some(era),
         ..StateMessage::default()
     };
     spread(core, &asked, &message);
--- a/src/proxy/peers.rs
+++ b/src/proxy/peers.rs
@@ -6,7 +6,7 @@
 use crate::{
     protocol::{
         headers::remove_hop_by_hop,
-        hop::{HOP_HEADER, HopAnswer, HopRequest, STATE_HEADER, Verdict},
+        hop::{AttemptOutcome, HOP_HEADER, HopAnswer, HopRequest, STATE_HEADER},
     },
     proxy::{
         core::ProxyCore,
@@ -66,7 +66,7 @@
         .and_then(|value| HopAnswer::decode(value.to_str().ok()?))
         .ok_or(SendError::BadAnswer)?;
     note_version_of(core, to, answer.version);
-    let response = (answer.verdict == Verdict::Answered).then_some(response);
+    let response = (answer.outcome == AttemptOutcome::Answered).then_some(response);
     Ok(Executed { answer, response })
 }
 
@@ -123,7 +123,7 @@
     let Some(hop) = hop else {
         return reply_json(StatusCode::BAD_REQUEST, "not a message between nodes");
     };
-    note_version_of(core, hop.from, hop.version);
+    note_version_of(core, hop.sender, hop.version);
     let executed = execute(core, &hop, req).await;
     let mut reply = match executed.response {
         Some(response) => pass_on(response),
--- a/src/proxy/reply.rs
+++ b/src/proxy/reply.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     protocol::{
-        hop::name_of,
+        hop::get_variant_name,
         outcome::{RefusalReason, UnknownCause},
     },
     proxy::peers::pass_on,
@@ -31,7 +31,7 @@
     match end {
         ClientEnd::Answered(response) => pass_on(*response),
         ClientEnd::Refused(reason, after) => {
-            let text = format!("not run: {}", name_of(&reason));
+            let text = format!("not run: {}", get_variant_name(&reason));
             let mut reply = reply_json(StatusCode::SERVICE_UNAVAILABLE, &text);
             let seconds = format!("{:.3}", after.as_secs_f64());
             if let Ok(value) = HeaderValue::from_str(&seconds) {
@@ -43,7 +43,7 @@
             reply_json(StatusCode::GATEWAY_TIMEOUT, "no answer within the deadline")
         }
         ClientEnd::Unknown(cause) => {
-            let text = format!("unknown whether it ran: {}", name_of(&cause));
+            let text = format!("unknown whether it ran: {}", get_variant_name(&cause));
             reply_json(StatusCode::BAD_GATEWAY, &text)
         }
         ClientEnd::NoRoute => reply_json(StatusCode::NOT_FOUND, "no route"),
--- a/src/proxy/retiring.rs
+++ b/src/proxy/retiring.rs
@@ -127,12 +127,12 @@
 ) -> Testimony {
     let witnesses = watch.list_witnesses(suspect, core.timers.now());
     let message = StateMessage {
-        reaches: Some(suspect),
+        check_peer: Some(suspect),
         ..StateMessage::default()
     };
     let asked = witnesses.into_iter().take(WITNESSES).map(|to| {
         let message = &message;
-        async move { ask_state(core, to, message).await?.0.reached }
+        async move { ask_state(core, to, message).await?.0.peer_reachable }
     });
     weigh_testimony(&join_all(asked).await)
 }
--- a/src/proxy/state_messages.rs
+++ b/src/proxy/state_messages.rs
@@ -46,7 +46,7 @@
 async fn send_to_first(core: &ProxyCore, receivers: Vec<SocketAddr>, mut message: StateMessage) {
     let mut rest = receivers;
     while let Some(to) = rest.pop() {
-        message.pass_on.clone_from(&rest);
+        message.forward_to.clone_from(&rest);
         if send_state(core, to, &message).await.is_some() {
             return;
         }
--- a/src/proxy/state_sharing.rs
+++ b/src/proxy/state_sharing.rs
@@ -73,9 +73,9 @@
         }
     };
     count_bytes(core, body.len());
-    let (wanted, reaches, from) = (message.wanted, message.reaches, message.from);
+    let (wanted, reaches, from) = (message.changes_since, message.check_peer, message.sender);
     let has_records = message.has_records;
-    let is_offer = message.offered.is_some();
+    let is_offer = message.offered_version.is_some();
     let tells_evacuations = message.evacuations.is_some();
     take_message(core, message);
     let mut answer = match wanted {
@@ -92,10 +92,10 @@
         answer.evacuations_position = Some(core.evacuations.position());
     }
     if is_offer {
-        answer.offered = Some(core.directory.borrow().version());
+        answer.offered_version = Some(core.directory.borrow().version());
     }
     if let Some(suspect) = reaches {
-        answer.reached = Some(is_reached(core, suspect).await);
+        answer.peer_reachable = Some(is_reached(core, suspect).await);
     }
     if answer == StateMessage::default() {
         return Response::new(Full::default());
@@ -113,14 +113,14 @@
 }
 
 fn take_message(core: &Rc<ProxyCore>, mut message: StateMessage) {
-    if let Some(era) = message.lost_in_era {
+    if let Some(era) = message.lost_in_epoch {
         note_own_record_lost(core, era);
     }
     if message.read_store {
         core.become_substitute_reader();
     }
-    let pass_on = std::mem::take(&mut message.pass_on);
-    if let (Some(version), Some(from)) = (message.offered, message.from) {
+    let pass_on = std::mem::take(&mut message.forward_to);
+    if let (Some(version), Some(from)) = (message.offered_version, message.sender) {
         let offer = TableOffer {
             from,
             version,
@@ -134,7 +134,7 @@
         core.directory.borrow_mut().note_stored_table(table);
     }
     if let Some(evacuations) = &message.evacuations {
-        if let Some(from) = message.from {
+        if let Some(from) = message.sender {
             core.evacuations.note_position(from, evacuations.position());
         }
         take_told_evacuations(core, evacuations);
--- a/src/proxy/table_fetching.rs
+++ b/src/proxy/table_fetching.rs
@@ -144,9 +144,9 @@
     own: ConfigurationVersion,
 ) -> Result<(), ChangeError> {
     let message = StateMessage {
-        wanted: Some(own),
+        changes_since: Some(own),
         has_records: core.has_records(),
-        from: Some(core.settings.peers),
+        sender: Some(core.settings.peers),
         ..StateMessage::default()
     };
     let asked = core.timers.now();
--- a/src/proxy/table_offering.rs
+++ b/src/proxy/table_offering.rs
@@ -79,12 +79,12 @@
 
 async fn offer_directly(core: &ProxyCore, to: SocketAddr, version: ConfigurationVersion) {
     let message = StateMessage {
-        offered: Some(version),
-        from: Some(core.settings.peers),
+        offered_version: Some(version),
+        sender: Some(core.settings.peers),
         ..StateMessage::default()
     };
     let answer = ask_state(core, to, &message).await;
-    if let Some(has) = answer.and_then(|(answer, _)| answer.offered) {
+    if let Some(has) = answer.and_then(|(answer, _)| answer.offered_version) {
         core.directory.borrow_mut().note_version(to, has);
     }
 }
@@ -102,8 +102,8 @@
 /// Passes an offer on as it came.
 pub fn pass_on(core: &Rc<ProxyCore>, offer: &TableOffer) {
     let message = StateMessage {
-        offered: Some(offer.version),
-        from: Some(offer.from),
+        offered_version: Some(offer.version),
+        sender: Some(offer.from),
         ..StateMessage::default()
     };
     spread(core, &offer.pass_on, &message);
--- a/tests/integration/crash_counting.rs
+++ b/tests/integration/crash_counting.rs
@@ -228,8 +228,8 @@
 fn findings_survive_the_wire() {
     let findings = [
         CrashFinding::Crashed {
-            digest: digest(1),
-            run: run(1),
+            fingerprint: digest(1),
+            incarnation: run(1),
         },
         CrashFinding::Quarantined(digest(1)),
         CrashFinding::Answered(digest(1)),
--- a/tests/integration/table_spreading/calls.rs
+++ b/tests/integration/table_spreading/calls.rs
@@ -112,7 +112,7 @@
         let mut bytes = 0;
         match self.calls[number].purpose.clone() {
             Purpose::Offer(message, pass_on) => {
-                let (Some(version), Some(from)) = (message.offered, message.from) else {
+                let (Some(version), Some(from)) = (message.offered_version, message.sender) else {
                     unreachable!("an offer tells version and node");
                 };
                 self.take_offer(
@@ -153,7 +153,7 @@
     /// Bytes of the answer to an offer: the version that the node has.
     fn told_bytes(&self, node: usize) -> usize {
         let told = StateMessage {
-            offered: Some(self.nodes[node].own),
+            offered_version: Some(self.nodes[node].own),
             ..StateMessage::default()
         };
         serde_json::to_vec(&told).map_or(0, |body| body.len())
@@ -224,13 +224,13 @@
     let message = match &call.purpose {
         Purpose::Offer(message, _) => (**message).clone(),
         Purpose::DirectOffer(version) => StateMessage {
-            offered: Some(*version),
-            from: Some(address(call.from)),
+            offered_version: Some(*version),
+            sender: Some(address(call.from)),
             ..StateMessage::default()
         },
         Purpose::Fetch(own) => StateMessage {
-            wanted: Some(*own),
-            from: Some(address(call.from)),
+            changes_since: Some(*own),
+            sender: Some(address(call.from)),
             ..StateMessage::default()
         },
     };
--- a/tests/integration/table_spreading/glue.rs
+++ b/tests/integration/table_spreading/glue.rs
@@ -25,8 +25,8 @@
         receivers: &[SocketAddr],
     ) {
         let message = StateMessage {
-            offered: Some(version),
-            from: Some(from),
+            offered_version: Some(version),
+            sender: Some(from),
             ..StateMessage::default()
         };
         for part in split_receivers(receivers) {
@@ -43,7 +43,7 @@
         let Some(to) = rest.pop() else {
             return;
         };
-        message.pass_on.clone_from(&rest);
+        message.forward_to.clone_from(&rest);
         self.call(node, node_at(to), Purpose::Offer(Box::new(message), rest));
     }
 
