--- a/src/coordination.rs
+++ b/src/coordination.rs
@@ -15,4 +15,4 @@
 pub mod store_reading;
 pub mod table_sources;
 pub mod version_lag;
-pub mod vm_pace;
+pub mod vm_slowdown;
--- a/src/coordination/slot_queue.rs
+++ b/src/coordination/slot_queue.rs
@@ -18,7 +18,7 @@
 use crate::{
     coordination::{
         slow_start::{SlowStart, ToldColdTime},
-        vm_pace::Pace,
+        vm_slowdown::VmSlowdown,
     },
     state::{ablation::Mechanism, timestamp::Timestamp},
 };
@@ -110,7 +110,7 @@
     /// In the order of arrival.
     waiting: Vec<Waiting>,
     next_number: u64,
-    pace: Pace,
+    slowdown: VmSlowdown,
     late_share: LateShare,
     slow_start: SlowStart,
 }
@@ -124,7 +124,7 @@
             running: Vec::new(),
             waiting: Vec::new(),
             next_number: 0,
-            pace: Pace::BEST,
+            slowdown: VmSlowdown::NONE,
             late_share: LateShare::default(),
             slow_start: SlowStart::new(now),
         }
@@ -150,8 +150,8 @@
 
     /// How fast the VM works, as last told.
     #[must_use]
-    pub fn pace(&self) -> Pace {
-        self.pace
+    pub fn slowdown(&self) -> VmSlowdown {
+        self.slowdown
     }
 
     /// Takes a new limit; requests beyond a lowered one end as they would have.
@@ -182,8 +182,8 @@
     }
 
     /// Records the current pace of the VM.
-    pub fn set_pace(&mut self, pace: Pace, now: Timestamp) -> Vec<SlotAction> {
-        self.pace = pace;
+    pub fn set_slowdown(&mut self, slowdown: VmSlowdown, now: Timestamp) -> Vec<SlotAction> {
+        self.slowdown = slowdown;
         self.fill(now)
     }
 
@@ -213,7 +213,7 @@
 
     /// The request as it would wait; `fits` if it could end in time.
     fn describe(&self, request: &SlotRequest, fits: bool, now: Timestamp) -> Waiting {
-        let takes = self.pace.stretch_usual(request.expected);
+        let takes = self.slowdown.estimate_baseline_duration(request.expected);
         let latest = now + request.target_left.saturating_sub(takes);
         Waiting {
             number: SlotNumber(self.next_number),
@@ -227,8 +227,8 @@
     /// Whether a new request runs at once. At a slow moment one that wants a slot at once goes to another node.
     fn may_start(&self, request: &SlotRequest, now: Timestamp) -> bool {
         let has_room = self.has_room(now) && self.waiting.is_empty();
-        let goes_elsewhere = self.pace.is_slow() && request.within.is_zero();
-        has_room && self.pace.pays_to_start(request.expected) && !goes_elsewhere
+        let goes_elsewhere = self.slowdown.is_above_baseline() && request.within.is_zero();
+        has_room && self.slowdown.should_start_now(request.expected) && !goes_elsewhere
     }
 
     /// Whether one more request may run now.
@@ -283,13 +283,20 @@
             .iter()
             .filter(|waiting| waiting.rank(now) <= rank);
         let held_back = self.slow_start.wait(before.clone().count(), now);
-        let ahead = before.map(|waiting| self.pace.stretch_usual(waiting.expected));
+        let ahead =
+            before.map(|waiting| self.slowdown.estimate_baseline_duration(waiting.expected));
         let ends = self.running.iter().map(|running| running.ends.since(now));
-        let starts_slow = self.pace.pays_to_start(request.expected);
+        let starts_slow = self.slowdown.should_start_now(request.expected);
         let (pause, takes) = if starts_slow {
-            (Duration::ZERO, self.pace.stretch(request.expected))
+            (
+                Duration::ZERO,
+                self.slowdown.estimate_duration(request.expected),
+            )
         } else {
-            (self.pace.lasts, self.pace.stretch_usual(request.expected))
+            (
+                self.slowdown.remaining,
+                self.slowdown.estimate_baseline_duration(request.expected),
+            )
         };
         forecast_start(self.limit, ends, ahead, pause).max(held_back) + takes
     }
@@ -303,14 +310,14 @@
             .map(|waiting| waiting.expected)
             .sum();
         let wait = self.late_share.stretch(ahead, request.expected, self.limit);
-        self.forecast(request, now) + self.pace.stretch_usual(wait)
+        self.forecast(request, now) + self.slowdown.estimate_baseline_duration(wait)
     }
 
     fn start(&mut self, waiting: &Waiting, now: Timestamp) {
         self.slow_start.note_start(now);
         self.running.push(Running {
             number: waiting.number,
-            ends: now + self.pace.stretch(waiting.expected),
+            ends: now + self.slowdown.estimate_duration(waiting.expected),
         });
     }
 
@@ -337,7 +344,7 @@
     }
 
     fn find_next(&self, now: Timestamp) -> Option<usize> {
-        let startable = |waiting: &Waiting| self.pace.pays_to_start(waiting.expected);
+        let startable = |waiting: &Waiting| self.slowdown.should_start_now(waiting.expected);
         let indexed = self.waiting.iter().enumerate();
         indexed
             .filter(|(_, waiting)| startable(waiting))
--- a/src/coordination/vm_pace.rs
+++ b/src/coordination/vm_slowdown.rs
@@ -27,51 +27,53 @@
 
 /// How fast the VM of the upstream works.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Pace {
+pub struct VmSlowdown {
     /// How long work that starts now takes, in percent of what it takes at the best.
     pub percent: u16,
     /// The same at other moments of these seconds.
-    pub usual: u16,
+    pub baseline_percent: u16,
     /// How much longer the present pace lasts, as a guess.
-    pub lasts: Duration,
+    pub remaining: Duration,
 }
 
-impl Pace {
+impl VmSlowdown {
     /// The best pace.
-    pub const BEST: Self = Self {
+    pub const NONE: Self = Self {
         percent: 100,
-        usual: 100,
-        lasts: Duration::ZERO,
+        baseline_percent: 100,
+        remaining: Duration::ZERO,
     };
 
     /// Whether work should rather start later.
     #[must_use]
-    pub fn is_slow(self) -> bool {
-        is_slower(self.percent, self.usual)
+    pub fn is_above_baseline(self) -> bool {
+        is_slower(self.percent, self.baseline_percent)
     }
 
     /// Time that work takes which starts now; `expected` is what it takes at the best.
     #[must_use]
-    pub fn stretch(self, expected: Duration) -> Duration {
+    pub fn estimate_duration(self, expected: Duration) -> Duration {
         expected * u32::from(self.percent) / 100
     }
 
     /// Time that work takes which starts at a usual moment.
     #[must_use]
-    pub fn stretch_usual(self, expected: Duration) -> Duration {
-        expected * u32::from(self.usual) / 100
+    pub fn estimate_baseline_duration(self, expected: Duration) -> Duration {
+        expected * u32::from(self.baseline_percent) / 100
     }
 
     /// Whether work that starts now ends sooner than if it waits for the usual pace.
     #[must_use]
-    pub fn pays_to_start(self, expected: Duration) -> bool {
-        !self.is_slow() || self.stretch(expected) <= self.lasts + self.stretch_usual(expected)
+    pub fn should_start_now(self, expected: Duration) -> bool {
+        !self.is_above_baseline()
+            || self.estimate_duration(expected)
+                <= self.remaining + self.estimate_baseline_duration(expected)
     }
 }
 
-fn is_slower(percent: u16, usual: u16) -> bool {
+fn is_slower(percent: u16, baseline_percent: u16) -> bool {
     let (times, parts) = SLOW_FROM;
-    u32::from(percent) * parts > u32::from(usual) * times
+    u32::from(percent) * parts > u32::from(baseline_percent) * times
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -84,19 +86,19 @@
 
 /// What the figures told so far say of the pace.
 #[derive(Clone, Copy, Debug)]
-pub struct PaceHistory {
+pub struct SlowdownHistory {
     /// None before the first figure: a start value would have an upstream that has just started wait.
-    usual: Option<u16>,
+    baseline_percent: Option<u16>,
     slow: Option<SlowMoment>,
     /// Mean length of slow moments, in seconds, and mean of its square.
     length: f64,
     squared: f64,
 }
 
-impl Default for PaceHistory {
+impl Default for SlowdownHistory {
     fn default() -> Self {
         Self {
-            usual: None,
+            baseline_percent: None,
             slow: None,
             length: FIRST_LENGTH.as_secs_f64(),
             squared: 2.0 * FIRST_LENGTH.as_secs_f64().powi(2),
@@ -104,30 +106,30 @@
     }
 }
 
-impl PaceHistory {
+impl SlowdownHistory {
     /// Forgets what was usual: another run of the upstream has come.
-    pub fn restart(&mut self) {
-        self.usual = None;
+    pub fn reset_baseline(&mut self) {
+        self.baseline_percent = None;
         self.slow = None;
     }
 
     /// Takes in a figure, in percent of the best pace.
-    pub fn note(&mut self, percent: u16, now: Timestamp) -> Pace {
-        let usual = self.usual.unwrap_or(percent);
-        if is_slower(percent, usual) {
-            self.note_slow(percent, usual, now);
+    pub fn record(&mut self, percent: u16, now: Timestamp) -> VmSlowdown {
+        let baseline_percent = self.baseline_percent.unwrap_or(percent);
+        if is_slower(percent, baseline_percent) {
+            self.note_slow(percent, baseline_percent, now);
         } else {
             self.note_usual(percent, now);
         }
-        Pace {
+        VmSlowdown {
             percent,
-            usual: self.usual.unwrap_or(percent),
-            lasts: self.mean_rest(),
+            baseline_percent: self.baseline_percent.unwrap_or(percent),
+            remaining: self.mean_rest(),
         }
     }
 
     fn note_usual(&mut self, percent: u16, now: Timestamp) {
-        self.usual = Some(percent);
+        self.baseline_percent = Some(percent);
         let ended = self.slow.take();
         if let Some(slow) = ended.filter(|slow| now.since(slow.told_at) <= GAP) {
             let length = now.since(slow.since).as_secs_f64();
@@ -136,8 +138,8 @@
         }
     }
 
-    fn note_slow(&mut self, percent: u16, usual: u16, now: Timestamp) {
-        self.usual = Some(usual);
+    fn note_slow(&mut self, percent: u16, baseline_percent: u16, now: Timestamp) {
+        self.baseline_percent = Some(baseline_percent);
         let known = self.slow.filter(|slow| now.since(slow.told_at) <= GAP);
         let slow = known.unwrap_or(SlowMoment {
             since: now,
@@ -150,7 +152,7 @@
             ..slow
         };
         if now.since(slow.since) >= self.mean_length() * LASTING {
-            self.usual = Some(slow.least);
+            self.baseline_percent = Some(slow.least);
             self.slow = None;
         } else {
             self.slow = Some(slow);
--- a/src/proxy/executing/pace.rs
+++ b/src/proxy/executing/pace.rs
@@ -4,7 +4,7 @@
 //! question costs the upstream about a millisecond and no slot.
 
 use crate::{
-    coordination::vm_pace::PaceHistory,
+    coordination::vm_slowdown::SlowdownHistory,
     proxy::{
         core::ProxyCore,
         executing::{
@@ -35,7 +35,7 @@
 pub struct PaceKnowledge {
     /// When it was last told; never by an upstream that does not tell its load.
     told_at: Cell<Option<Timestamp>>,
-    history: Cell<PaceHistory>,
+    history: Cell<SlowdownHistory>,
     asking: RefCell<Option<flume::Receiver<()>>>,
     watching: Cell<bool>,
     /// Keeps questions within what operators let measuring cost.
@@ -58,7 +58,7 @@
     /// Forgets what was usual: another run of the upstream has come.
     pub fn restart(&self) {
         let mut history = self.history.get();
-        history.restart();
+        history.reset_baseline();
         self.history.set(history);
     }
 
@@ -100,7 +100,9 @@
         }
         let core = Rc::clone(core);
         spawn_local(async move {
-            while core.slots.has_waiting() && core.slots.queue.borrow().pace().is_slow() {
+            while core.slots.has_waiting()
+                && core.slots.queue.borrow().slowdown().is_above_baseline()
+            {
                 let _ = core.timers.after(WATCH_PAUSE).recv_async().await;
                 refresh_pace(&core).await;
             }
@@ -121,9 +123,9 @@
     let now = core.timers.now();
     core.slots.pace.told_at.set(Some(now));
     let mut history = core.slots.pace.history.get();
-    let pace = history.note(percent, now);
+    let pace = history.record(percent, now);
     core.slots.pace.history.set(history);
-    let actions = core.slots.queue.borrow_mut().set_pace(pace, now);
+    let actions = core.slots.queue.borrow_mut().set_slowdown(pace, now);
     apply(core, actions);
     if core.slots.has_waiting() {
         core.slots.pace.watch(core);
--- a/src/proxy/executing/slots.rs
+++ b/src/proxy/executing/slots.rs
@@ -85,7 +85,7 @@
             running: saturate(queue.running()),
             queued: saturate(queue.queued()),
             limit: saturate(queue.limit()),
-            slowdown_percent: queue.pace().percent,
+            slowdown_percent: queue.slowdown().percent,
             failed_percent: self.failures.get().percent(),
         }
     }
--- a/tests/integration/main.rs
+++ b/tests/integration/main.rs
@@ -35,4 +35,4 @@
 mod table_sources;
 mod table_spreading;
 mod version_lag;
-mod vm_pace;
+mod vm_slowdown;
--- a/tests/integration/slot_queue.rs
+++ b/tests/integration/slot_queue.rs
@@ -3,7 +3,7 @@
 use camphorturn::{
     coordination::{
         slot_queue::{SlotAction, SlotDecision, SlotNumber, SlotQueue, SlotRequest},
-        vm_pace::Pace,
+        vm_slowdown::VmSlowdown,
     },
     state::timestamp::Timestamp,
 };
@@ -29,11 +29,11 @@
     }
 }
 
-fn slow() -> Pace {
-    Pace {
+fn slow() -> VmSlowdown {
+    VmSlowdown {
         percent: 400,
-        usual: 100,
-        lasts: ms(200),
+        baseline_percent: 100,
+        remaining: ms(200),
     }
 }
 
@@ -96,7 +96,7 @@
 #[test]
 fn slow_moment_starts_nothing_that_gains_by_waiting() {
     let mut queue = SlotQueue::new(2, START);
-    queue.set_pace(slow(), START);
+    queue.set_slowdown(slow(), START);
     let finish = ms(300);
     assert_eq!(
         queue.offer(request(1, 0), START),
@@ -104,14 +104,14 @@
     );
     let waiting = queue.offer(request(1, 500), START);
     assert!(matches!(waiting, SlotDecision::Wait(_)));
-    let started = queue.set_pace(Pace::BEST, at(40));
+    let started = queue.set_slowdown(VmSlowdown::NONE, at(40));
     assert_eq!(started, [SlotAction::Start(number_of(waiting))]);
 }
 
 #[test]
 fn slow_moment_starts_short_work() {
     let mut queue = SlotQueue::new(2, START);
-    queue.set_pace(slow(), START);
+    queue.set_slowdown(slow(), START);
     let short = SlotRequest {
         expected: ms(15),
         ..request(1, 80)
@@ -126,7 +126,7 @@
 fn slow_moment_forecast_of_short_work() {
     let mut queue = SlotQueue::new(1, START);
     number_of(queue.offer(request(1, 500), START));
-    queue.set_pace(slow(), at(50));
+    queue.set_slowdown(slow(), at(50));
     let short = SlotRequest {
         expected: ms(15),
         time_left: ms(200),
@@ -237,11 +237,11 @@
         }
         _ => {
             let pace = if choice.is_multiple_of(2) {
-                Pace::BEST
+                VmSlowdown::NONE
             } else {
                 slow()
             };
-            queue.set_pace(pace, now)
+            queue.set_slowdown(pace, now)
         }
     }
 }
