--- a/src/coordination.rs
+++ b/src/coordination.rs
@@ -1,7 +1,7 @@
 //! Decisions: who does what. Pure functions of state, event and time that return actions.
 
 pub mod calls_per_run;
-pub mod crash_keepers;
+pub mod crash_counters;
 pub mod offer_rounds;
 pub mod own_upstream;
 pub mod placement;
--- a/src/coordination/crash_keepers.rs
+++ b/src/coordination/crash_counters.rs
@@ -13,12 +13,12 @@
 
 /// Nodes that count the crashes under one request. Two of them may be lost, or not know of each other, without a crash going
 /// uncounted.
-pub const KEEPERS: usize = 3;
+pub const CRASH_COUNTERS: usize = 3;
 
 /// The nodes in the order in which they count the crashes under a request. Nodes that know the same others find the same order; a
 /// node more or less moves no other one.
 #[must_use]
-pub fn order_keepers(
+pub fn order_crash_counters(
     digest: RequestDigest,
     nodes: impl Iterator<Item = SocketAddr>,
 ) -> Vec<SocketAddr> {
--- a/src/proxy/crashes.rs
+++ b/src/proxy/crashes.rs
@@ -4,7 +4,7 @@
 //! crashes; one that reaches the threshold propagates the quarantine to all nodes and writes it to the store for nodes that start later.
 
 use crate::{
-    coordination::crash_keepers::{KEEPERS, order_keepers},
+    coordination::crash_counters::{CRASH_COUNTERS, order_crash_counters},
     protocol::hop::{CrashFinding, StateMessage},
     proxy::{
         core::{ProxyCore, increment},
@@ -238,11 +238,11 @@
 }
 
 fn tell_keepers(core: &Rc<ProxyCore>, digest: RequestDigest, finding: CrashFinding) {
-    let mut order = order_keepers(digest, list_nodes(core).into_iter());
+    let mut order = order_crash_counters(digest, list_nodes(core).into_iter());
     order.truncate(MAX_TRIED);
     let rest = Rc::new(RefCell::new(order.into_iter()));
     let finding = Rc::new(finding);
-    for _ in 0..KEEPERS {
+    for _ in 0..CRASH_COUNTERS {
         let (core, rest, finding) = (Rc::clone(core), Rc::clone(&rest), Rc::clone(&finding));
         spawn_local(async move { tell_next(&core, &rest, finding).await });
     }
--- a/tests/integration/crash_counting.rs
+++ b/tests/integration/crash_counting.rs
@@ -2,7 +2,7 @@
 
 use bolero::check;
 use camphorturn::{
-    coordination::crash_keepers::{KEEPERS, order_keepers},
+    coordination::crash_counters::{CRASH_COUNTERS, order_crash_counters},
     protocol::{
         hop::{CrashFinding, StateMessage},
         store::{find_quarantined, quarantine_key},
@@ -198,12 +198,12 @@
             let without = |left_out: u8| {
                 let left_out = u16::from(left_out) % size;
                 let nodes = (0..size).filter(|port| *port != left_out).map(address);
-                order_keepers(digest(*number), nodes)
+                order_crash_counters(digest(*number), nodes)
             };
             let (first, second) = (without(*one), without(*other));
-            let first: BTreeSet<_> = first.iter().take(KEEPERS).collect();
-            let second: BTreeSet<_> = second.iter().take(KEEPERS).collect();
-            assert!(first.intersection(&second).count() >= KEEPERS - 1);
+            let first: BTreeSet<_> = first.iter().take(CRASH_COUNTERS).collect();
+            let second: BTreeSet<_> = second.iter().take(CRASH_COUNTERS).collect();
+            assert!(first.intersection(&second).count() >= CRASH_COUNTERS - 1);
         });
 }
 
@@ -213,7 +213,10 @@
     let mut counts = vec![0; usize::from(NODES)];
     for number in 0..3_000 {
         let nodes = (0..NODES).map(|port| SocketAddr::from(([10, 0, 0, 1], port)));
-        for keeper in order_keepers(digest(number), nodes).iter().take(KEEPERS) {
+        for keeper in order_crash_counters(digest(number), nodes)
+            .iter()
+            .take(CRASH_COUNTERS)
+        {
             counts[usize::from(keeper.port())] += 1;
         }
     }
