--- a/src/coordination.rs
+++ b/src/coordination.rs
@@ -2,8 +2,8 @@
 
 pub mod calls_per_run;
 pub mod crash_counters;
+pub mod local_upstream;
 pub mod offer_rounds;
-pub mod own_upstream;
 pub mod placement;
 pub mod publishing;
 pub mod repeat_budget;
--- a/src/coordination/own_upstream.rs
+++ b/src/coordination/local_upstream.rs
@@ -8,7 +8,7 @@
 
 /// Runs that are remembered after they have ended. A late announcement of one of them must not bring
 /// it back; those older than this many replacements are no longer under way.
-const REMEMBERED_RUNS: usize = 16;
+const MAX_ENDED_INCARNATIONS: usize = 16;
 
 /// One announcement of an upstream.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -29,7 +29,7 @@
 
 /// The present run of the upstream.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct UpstreamRun {
+pub struct UpstreamIncarnation {
     /// What tells it from other runs.
     pub identity: RunIdentity,
     /// Its service.
@@ -54,30 +54,30 @@
 
 /// What is known of the upstream beside the node.
 #[derive(Clone, Debug, Default)]
-pub struct OwnUpstream {
-    current: Option<UpstreamRun>,
+pub struct LocalUpstream {
+    current: Option<UpstreamIncarnation>,
     ended: VecDeque<RunIdentity>,
 }
 
-impl OwnUpstream {
+impl LocalUpstream {
     /// The present run, if one has announced itself.
     #[must_use]
-    pub fn current(&self) -> Option<&UpstreamRun> {
+    pub fn current(&self) -> Option<&UpstreamIncarnation> {
         self.current.as_ref()
     }
 
     /// The run that work may be sent to.
     #[must_use]
-    pub fn serving(&self) -> Option<&UpstreamRun> {
+    pub fn serving(&self) -> Option<&UpstreamIncarnation> {
         self.current.as_ref().filter(|run| !run.leaving)
     }
 
     /// Applies an announcement.
-    pub fn announce(&mut self, announcement: Announcement) -> AnnouncementEffect {
+    pub fn apply_announcement(&mut self, announcement: Announcement) -> AnnouncementEffect {
         if self.has_ended(&announcement.run) {
             return AnnouncementEffect::Stale;
         }
-        let run = UpstreamRun {
+        let run = UpstreamIncarnation {
             identity: announcement.run,
             service: announcement.service,
             slots: announcement.slots,
@@ -95,7 +95,7 @@
     }
 
     /// Records that a run leaves for good. True if it was not known.
-    pub fn depart(&mut self, told: &RunIdentity) -> bool {
+    pub fn record_departure(&mut self, told: &RunIdentity) -> bool {
         match &mut self.current {
             Some(known) if known.identity == *told || is_untold(&known.identity, told) => {
                 !std::mem::replace(&mut known.leaving, true)
@@ -117,7 +117,7 @@
     }
 
     /// Another run answered in place of `instance`: its announcements count no longer.
-    pub fn disown(&mut self, instance: &str) {
+    pub fn end_incarnation(&mut self, instance: &str) {
         let is_current = self
             .current
             .as_ref()
@@ -135,7 +135,7 @@
 
     fn remember(&mut self, run: RunIdentity) {
         self.ended.push_back(run);
-        if self.ended.len() > REMEMBERED_RUNS {
+        if self.ended.len() > MAX_ENDED_INCARNATIONS {
             self.ended.pop_front();
         }
     }
@@ -148,14 +148,14 @@
 
 /// A run that leaves never comes back to work under the same identity: a late announcement from
 /// before it left would have its node send it work again.
-fn update_run(known: &mut UpstreamRun, run: UpstreamRun) -> AnnouncementEffect {
+fn update_run(known: &mut UpstreamIncarnation, run: UpstreamIncarnation) -> AnnouncementEffect {
     let earlier = !run.identity.covers(&known.identity);
     if earlier || run.sequence <= known.sequence {
         return AnnouncementEffect::Stale;
     }
     let leaving = known.leaving || run.leaving;
     let changed = leaving != known.leaving || run.slots != known.slots;
-    *known = UpstreamRun {
+    *known = UpstreamIncarnation {
         leaving,
         identity: RunIdentity {
             born: run.identity.born.or(known.identity.born),
--- a/src/local_mesh/node.rs
+++ b/src/local_mesh/node.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     coordination::{
-        own_upstream::Announcement, repeat_budget::RepeatRules, slow_start::SlowStartRules,
+        local_upstream::Announcement, repeat_budget::RepeatRules, slow_start::SlowStartRules,
     },
     local_mesh::{LOCAL_TOKEN, LocalMeshError, plan::NodePlan, store::LocalStore},
     options::proxy_settings::{
--- a/src/proxy/announcing.rs
+++ b/src/proxy/announcing.rs
@@ -1,7 +1,7 @@
 //! Takes in what the upstream beside the node announces, and has it recorded in the store.
 
 use crate::{
-    coordination::own_upstream::{Announcement, AnnouncementEffect},
+    coordination::local_upstream::{Announcement, AnnouncementEffect},
     proxy::{
         core::ProxyCore,
         events::ProxyEvent,
@@ -39,7 +39,10 @@
     }
     let before = identify_own(core);
     let (service, warmup_left) = (announcement.service.clone(), announcement.warmup_left);
-    let effect = core.local_upstream.borrow_mut().announce(announcement);
+    let effect = core
+        .local_upstream
+        .borrow_mut()
+        .apply_announcement(announcement);
     if effect == AnnouncementEffect::Changed && before.is_some() && before != identify_own(core) {
         core.slots.restart();
     }
@@ -84,7 +87,7 @@
 
 /// Takes in that a run of the upstream leaves; returns once it may be acknowledged.
 pub async fn take_departure(core: &Rc<ProxyCore>, run: &RunIdentity, store: &Sender<RecordOrder>) {
-    let news = core.local_upstream.borrow_mut().depart(run);
+    let news = core.local_upstream.borrow_mut().record_departure(run);
     if news {
         core.log(&ProxyEvent::UpstreamDeparted {
             instance: run.instance.clone(),
@@ -122,7 +125,9 @@
     let unknown = core.local_upstream.borrow().current().is_none();
     let unchanged = core.stored_record.replace(Some(record.clone())).as_ref() == Some(&record);
     if record.leaving {
-        core.local_upstream.borrow_mut().depart(&record.run);
+        core.local_upstream
+            .borrow_mut()
+            .record_departure(&record.run);
     } else if unknown && !unchanged && confirm_instance(core, &record).await {
         let announcement = Announcement {
             run: record.run.clone(),
@@ -133,7 +138,9 @@
             sequence: 0,
         };
         if core.local_upstream.borrow().current().is_none() {
-            core.local_upstream.borrow_mut().announce(announcement);
+            core.local_upstream
+                .borrow_mut()
+                .apply_announcement(announcement);
             core.slots.recall_run();
             set_limit(core, limit_for(record.slots));
             core.directory.borrow_mut().take_own(record.clone());
--- a/src/proxy/core.rs
+++ b/src/proxy/core.rs
@@ -7,8 +7,8 @@
 
 use crate::{
     coordination::{
-        calls_per_run::CallsPerRun, offer_rounds::OfferRounds, own_upstream::OwnUpstream,
-        repeat_budget::RepeatBudget, table_sources::TableSources, version_lag::VersionLag,
+        calls_per_run::CallsPerRun, local_upstream::LocalUpstream, offer_rounds::OfferRounds,
+        retry_budget::RetryBudget, table_sources::TableSources, version_lag::VersionLag,
     },
     options::proxy_settings::{NodeBounds, ProxySettings},
     proxy::{
@@ -63,11 +63,11 @@
     /// Wakes whoever writes it again.
     pub own_record_lost: Notify,
     /// The upstream beside the node, by its announcements.
-    pub local_upstream: RefCell<OwnUpstream>,
+    pub local_upstream: RefCell<LocalUpstream>,
     /// Its slots.
     pub slots: Slots,
     /// Budgets for second upstreams, by service.
-    pub retry_budgets: RefCell<HashMap<ServiceName, RepeatBudget>>,
+    pub retry_budgets: RefCell<HashMap<ServiceName, RetryBudget>>,
     /// What runs of the upstream's classes call.
     pub calls_per_execution: RefCell<CallsPerRun>,
     /// Connections to the upstream and to other nodes.
--- a/src/proxy/executing/dispatch.rs
+++ b/src/proxy/executing/dispatch.rs
@@ -152,7 +152,7 @@
         core.log(&ProxyEvent::UpstreamReplaced {
             instance: instance.to_owned(),
         });
-        core.local_upstream.borrow_mut().disown(instance);
+        core.local_upstream.borrow_mut().end_incarnation(instance);
         return (AttemptOutcome::Refused(RefusalReason::UpstreamShed), None);
     }
     if response.headers().contains_key(&names.not_executed) {
--- a/tests/integration/mesh_model.rs
+++ b/tests/integration/mesh_model.rs
@@ -2,11 +2,11 @@
 //! in any order, or not at all, with restarts in between.
 //!
 //! The states are small: one upstream with two runs, its node, one other node, two versions of the
-//! configuration. The code explored is that of the node: [`OwnUpstream`] and [`Directory`]. Breadth
+//! configuration. The code explored is that of the node: [`LocalUpstream`] and [`Directory`]. Breadth
 //! first, so that a broken invariant comes with its shortest sequence of steps.
 
 use camphorturn::{
-    coordination::own_upstream::{Announcement, OwnUpstream},
+    coordination::local_upstream::{Announcement, LocalUpstream},
     proxy::directory::Directory,
     state::{
         configuration::ConfigurationVersion,
@@ -98,16 +98,21 @@
 
     /// The run that the node would send work to, by the node's own code.
     fn serving(&self, without: Without) -> Option<u8> {
-        let mut own = OwnUpstream::default();
+        let mut own = LocalUpstream::default();
         if let Some(run) = self.recalled {
-            own.announce(self.announcement(run, 0, false, without));
+            own.apply_announcement(self.announcement(run, 0, false, without));
         }
         for beat in &self.taken {
             let forgets = without == Without::LeavingStays && !beat.leaving;
             if forgets {
-                own = OwnUpstream::default();
+                own = LocalUpstream::default();
             }
-            own.announce(self.announcement(beat.run, beat.sequence, beat.leaving, without));
+            own.apply_announcement(self.announcement(
+                beat.run,
+                beat.sequence,
+                beat.leaving,
+                without,
+            ));
         }
         let serving = own.serving()?;
         let first = match self.naming {
--- a/tests/integration/proxy_decisions.rs
+++ b/tests/integration/proxy_decisions.rs
@@ -2,7 +2,7 @@
 
 use camphorturn::{
     coordination::{
-        own_upstream::{Announcement, AnnouncementEffect, OwnUpstream},
+        local_upstream::{Announcement, AnnouncementEffect, LocalUpstream},
         placement::order_candidates,
         spreading::split_receivers,
         store_reading::{ReadingRole, is_reader, plan_reading},
@@ -169,11 +169,11 @@
     bolero::check!()
         .with_type::<Vec<(u8, u8, bool)>>()
         .for_each(|announcements| {
-            let mut own = OwnUpstream::default();
+            let mut own = LocalUpstream::default();
             let mut left = Vec::new();
             for (run, sequence, leaving) in announcements {
                 let instance = format!("i-{}", run % 4);
-                own.announce(announcement(&instance, u64::from(*sequence), *leaving));
+                own.apply_announcement(announcement(&instance, u64::from(*sequence), *leaving));
                 if own.current().is_some_and(|run| run.leaving) {
                     left.extend(own.current().map(|run| run.identity.instance.clone()));
                 }
@@ -185,9 +185,9 @@
 
 #[test]
 fn announce_stale_sequence() {
-    let mut own = OwnUpstream::default();
-    own.announce(announcement("i-1", 5, false));
-    let effect = own.announce(announcement("i-1", 4, true));
+    let mut own = LocalUpstream::default();
+    own.apply_announcement(announcement("i-1", 5, false));
+    let effect = own.apply_announcement(announcement("i-1", 4, true));
     assert_eq!(effect, AnnouncementEffect::Stale);
     assert!(own.serving().is_some());
 }
@@ -196,10 +196,10 @@
 /// its own first. Cause: the late one makes the predecessor the present run.
 #[test]
 fn announce_of_ended_run() {
-    let mut own = OwnUpstream::default();
-    own.announce(announcement("i-1", 5, false));
-    own.announce(announcement("i-2", 1, false));
-    let effect = own.announce(announcement("i-1", 6, false));
+    let mut own = LocalUpstream::default();
+    own.apply_announcement(announcement("i-1", 5, false));
+    own.apply_announcement(announcement("i-2", 1, false));
+    let effect = own.apply_announcement(announcement("i-1", 6, false));
     assert_eq!(effect, AnnouncementEffect::Stale);
     assert_eq!(
         own.current().map(|run| run.identity.instance.as_str()),
@@ -218,10 +218,10 @@
 /// sequence starts anew. Cause: its announcements count as late ones of the run that left.
 #[test]
 fn announce_again_under_the_same_identity() {
-    let mut own = OwnUpstream::default();
-    own.announce(announcement_of(1_000, 7, true));
+    let mut own = LocalUpstream::default();
+    own.apply_announcement(announcement_of(1_000, 7, true));
     assert!(own.serving().is_none());
-    let again = own.announce(announcement_of(2_000, 1, false));
+    let again = own.apply_announcement(announcement_of(2_000, 1, false));
     assert_eq!(again, AnnouncementEffect::Changed);
     assert_eq!(own.serving().and_then(|run| run.identity.born), Some(2_000));
 }
@@ -230,23 +230,23 @@
 /// arrive late. Cause: the last that arrives counts.
 #[test]
 fn announce_late_word_of_a_former_run() {
-    let mut own = OwnUpstream::default();
-    own.announce(announcement_of(1_000, 7, false));
-    own.announce(announcement_of(2_000, 1, false));
-    let late = own.announce(announcement_of(1_000, 8, true));
+    let mut own = LocalUpstream::default();
+    own.apply_announcement(announcement_of(1_000, 7, false));
+    own.apply_announcement(announcement_of(2_000, 1, false));
+    let late = own.apply_announcement(announcement_of(1_000, 8, true));
     assert_eq!(late, AnnouncementEffect::Stale);
-    assert!(!own.depart(&run("i-1", Some(1_000))));
+    assert!(!own.record_departure(&run("i-1", Some(1_000))));
     assert_eq!(own.serving().and_then(|run| run.identity.born), Some(2_000));
-    assert!(own.depart(&run("i-1", Some(2_000))));
+    assert!(own.record_departure(&run("i-1", Some(2_000))));
     assert!(own.serving().is_none());
 }
 
 #[test]
 fn depart_before_first_announcement() {
-    let mut own = OwnUpstream::default();
-    assert!(own.depart(&run("i-1", None)));
-    assert!(!own.depart(&run("i-1", None)));
-    own.announce(announcement("i-1", 9, false));
+    let mut own = LocalUpstream::default();
+    assert!(own.record_departure(&run("i-1", None)));
+    assert!(!own.record_departure(&run("i-1", None)));
+    own.apply_announcement(announcement("i-1", 9, false));
     assert!(own.current().is_none());
 }
 
