--- a/src/coordination/repeat_budget.rs
+++ b/src/coordination/retry_budget.rs
@@ -13,7 +13,7 @@
 
 /// What the operators allow.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct RepeatRules {
+pub struct RetryBudgetRules {
     /// Repeats as a share of requests.
     pub ratio: f64,
     /// Repeats beyond the share, for all nodes together.
@@ -24,9 +24,9 @@
 
 /// A node's part in what the operators allow.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct RepeatShare {
+pub struct RetryBudgetShare {
     /// What all nodes together may do.
-    pub rules: RepeatRules,
+    pub rules: RetryBudgetRules,
     /// Nodes that share the slack.
     pub nodes: usize,
     /// Since when the node has run. What its former run spent is not known: its part of the slack is
@@ -34,7 +34,7 @@
     pub uptime: Duration,
 }
 
-impl RepeatShare {
+impl RetryBudgetShare {
     fn slack(&self) -> f64 {
         let window = self.rules.window.as_secs_f64().max(f64::MIN_POSITIVE);
         let known = (self.uptime.as_secs_f64() / window).min(1.0);
@@ -55,54 +55,54 @@
 
 /// One node's part of the budget of one service.
 #[derive(Clone, Debug, Default)]
-pub struct RepeatBudget {
+pub struct RetryBudget {
     requests: VecDeque<Timestamp>,
-    repeats: VecDeque<Spent>,
+    retries: VecDeque<Spent>,
 }
 
-impl RepeatBudget {
+impl RetryBudget {
     /// Counts a request.
-    pub fn count_request(&mut self, now: Timestamp, rules: RepeatRules) {
+    pub fn count_request(&mut self, now: Timestamp, rules: RetryBudgetRules) {
         self.requests.push_back(now);
         self.forget(now, rules);
     }
 
     /// Whether the budget holds that many repeats now. Expected calls come in fractions.
-    pub fn has_room(&mut self, now: Timestamp, share: RepeatShare, amount: f64) -> bool {
+    pub fn can_spend(&mut self, now: Timestamp, share: RetryBudgetShare, amount: f64) -> bool {
         self.forget(now, share.rules);
         let earned = share.rules.ratio * as_float(self.requests.len());
         let allowed = (earned + share.slack()) * SAFETY;
-        let spent: f64 = self.repeats.iter().map(|spent| spent.amount).sum();
+        let spent: f64 = self.retries.iter().map(|spent| spent.amount).sum();
         spent + amount <= allowed
     }
 
     /// Takes that many repeats, if the budget holds them.
-    pub fn take(&mut self, now: Timestamp, share: RepeatShare, amount: f64) -> bool {
-        let granted = self.has_room(now, share, amount);
+    pub fn try_spend(&mut self, now: Timestamp, share: RetryBudgetShare, amount: f64) -> bool {
+        let granted = self.can_spend(now, share, amount);
         if granted {
-            self.repeats.push_back(Spent { at: now, amount });
+            self.retries.push_back(Spent { at: now, amount });
         }
         granted
     }
 
     /// Gives the newest whole repeats back that were taken and reached no upstream.
-    pub fn give_back(&mut self, repeats: u16) {
-        for _ in 0..repeats {
-            let newest = self.repeats.iter().rposition(|spent| spent.amount >= 1.0);
-            let Some(spent) = newest.and_then(|index| self.repeats.get_mut(index)) else {
+    pub fn refund(&mut self, retries: u16) {
+        for _ in 0..retries {
+            let newest = self.retries.iter().rposition(|spent| spent.amount >= 1.0);
+            let Some(spent) = newest.and_then(|index| self.retries.get_mut(index)) else {
                 return;
             };
             spent.amount -= 1.0;
         }
     }
 
-    fn forget(&mut self, now: Timestamp, rules: RepeatRules) {
+    fn forget(&mut self, now: Timestamp, rules: RetryBudgetRules) {
         let old = |at: Timestamp| now.since(at) > rules.window;
         while self.requests.front().is_some_and(|at| old(*at)) {
             self.requests.pop_front();
         }
-        while self.repeats.front().is_some_and(|spent| old(spent.at)) {
-            self.repeats.pop_front();
+        while self.retries.front().is_some_and(|spent| old(spent.at)) {
+            self.retries.pop_front();
         }
     }
 }
--- a/src/local_mesh/node.rs
+++ b/src/local_mesh/node.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     coordination::{
-        local_upstream::Announcement, repeat_budget::RepeatRules, slow_start::SlowStartRules,
+        local_upstream::Announcement, retry_budget::RetryBudgetRules, slow_start::SlowStartRules,
     },
     local_mesh::{LOCAL_TOKEN, LocalMeshError, plan::NodePlan, store::LocalStore},
     options::proxy_settings::{
@@ -39,7 +39,7 @@
 /// Lines that a node keeps for operators' tools.
 const KEPT_LINES: usize = 5_000;
 /// Bounds on repeats as the users have them: a fifth of the requests, and 64 for all nodes together.
-const REPEATS: RepeatRules = RepeatRules {
+const REPEATS: RetryBudgetRules = RetryBudgetRules {
     ratio: 0.2,
     slack: 64.0,
     window: Duration::from_secs(10),
--- a/src/options/proxy_settings.rs
+++ b/src/options/proxy_settings.rs
@@ -1,7 +1,7 @@
 //! What a node is told at its start.
 
 use crate::{
-    coordination::{repeat_budget::RepeatRules, slow_start::SlowStartRules},
+    coordination::{retry_budget::RetryBudgetRules, slow_start::SlowStartRules},
     state::names::{AvailabilityZoneName, NodeName, ServiceName},
 };
 use http::HeaderName;
@@ -79,7 +79,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct NodeBounds {
     /// Bounds on repeated requests.
-    pub repeats: RepeatRules,
+    pub repeats: RetryBudgetRules,
     /// Most questions a second to the upstream for its load.
     pub probes_per_second: f64,
     /// Time from the order to stop until the process is killed.
--- a/src/proxy/repeats.rs
+++ b/src/proxy/repeats.rs
@@ -1,7 +1,7 @@
 //! What this node spends of the budgets of repeats.
 
 use crate::{
-    coordination::repeat_budget::{RepeatBudget, RepeatShare},
+    coordination::retry_budget::{RetryBudget, RetryBudgetShare},
     proxy::core::ProxyCore,
     state::{
         names::{ClassName, ServiceName},
@@ -26,20 +26,20 @@
     let share = find_share(core);
     let mut budgets = core.retry_budgets.borrow_mut();
     let budget = budgets.entry(service.clone()).or_default();
-    budget.take(core.timers.now(), share, 1.0)
+    budget.try_spend(core.timers.now(), share, 1.0)
 }
 
 /// Gives repeats back that were taken and reached no upstream.
 pub fn give_back_repeats(core: &ProxyCore, service: &ServiceName, repeats: u16) {
     if let Some(budget) = core.retry_budgets.borrow_mut().get_mut(service) {
-        budget.give_back(repeats);
+        budget.refund(repeats);
     }
 }
 
 /// Whether the budgets hold the calls that a repeated run of a class makes again.
 pub fn has_room_for_calls(core: &ProxyCore, class: &ClassName) -> bool {
     let calls = ExpectedCalls::of_run(core, class);
-    calls.check_each(&mut core.retry_budgets.borrow_mut(), RepeatBudget::has_room)
+    calls.check_each(&mut core.retry_budgets.borrow_mut(), RetryBudget::can_spend)
 }
 
 /// Takes the calls that a repeated run of a class makes again; false, and nothing taken, if a budget does not hold
@@ -47,14 +47,14 @@
 pub fn take_calls(core: &ProxyCore, class: &ClassName) -> bool {
     let calls = ExpectedCalls::of_run(core, class);
     let mut budgets = core.retry_budgets.borrow_mut();
-    calls.check_each(&mut budgets, RepeatBudget::has_room)
-        && calls.check_each(&mut budgets, RepeatBudget::take)
+    calls.check_each(&mut budgets, RetryBudget::can_spend)
+        && calls.check_each(&mut budgets, RetryBudget::try_spend)
 }
 
 /// The calls that a repeated run makes again at each service, at the most, and this node's part of the budgets now.
 struct ExpectedCalls {
     now: Timestamp,
-    share: RepeatShare,
+    share: RetryBudgetShare,
     amounts: Vec<(ServiceName, f64)>,
 }
 
@@ -71,8 +71,8 @@
     /// Whether `check` holds for the budget of each service.
     fn check_each(
         &self,
-        budgets: &mut HashMap<ServiceName, RepeatBudget>,
-        check: impl Fn(&mut RepeatBudget, Timestamp, RepeatShare, f64) -> bool,
+        budgets: &mut HashMap<ServiceName, RetryBudget>,
+        check: impl Fn(&mut RetryBudget, Timestamp, RetryBudgetShare, f64) -> bool,
     ) -> bool {
         self.amounts.iter().all(|(service, amount)| {
             let budget = budgets.entry(service.clone()).or_default();
@@ -81,8 +81,8 @@
     }
 }
 
-fn find_share(core: &ProxyCore) -> RepeatShare {
-    RepeatShare {
+fn find_share(core: &ProxyCore) -> RetryBudgetShare {
+    RetryBudgetShare {
         rules: core.limits().repeats,
         nodes: core.directory.borrow().nodes.len(),
         uptime: core.timers.now().since(core.started),
--- a/tests/integration/metrics_page.rs
+++ b/tests/integration/metrics_page.rs
@@ -1,7 +1,7 @@
 //! The operators' page of metrics has one row for every metric that a node serves.
 
 use camphorturn::{
-    coordination::{repeat_budget::RepeatRules, slow_start::SlowStartRules},
+    coordination::{retry_budget::RetryBudgetRules, slow_start::SlowStartRules},
     options::proxy_settings::{HeaderNames, LineRules, NodeBounds, ProxySettings},
     proxy::{core::ProxyCore, metrics::render_metrics},
     state::class_counts::ClassCounts,
@@ -24,7 +24,7 @@
         upstream: address,
         service: "desk".into(),
         bounds: NodeBounds {
-            repeats: RepeatRules {
+            repeats: RetryBudgetRules {
                 ratio: 0.2,
                 slack: 60.0,
                 window: Duration::from_secs(10),
--- a/tests/integration/repeats.rs
+++ b/tests/integration/repeats.rs
@@ -4,7 +4,7 @@
 use camphorturn::{
     coordination::{
         calls_per_run::{CallsPerRun, RunStart},
-        repeat_budget::{RepeatBudget, RepeatRules, RepeatShare},
+        retry_budget::{RetryBudget, RetryBudgetRules, RetryBudgetShare},
     },
     state::{
         names::{ClassName, ServiceName},
@@ -18,15 +18,15 @@
     time::Duration,
 };
 
-const RULES: RepeatRules = RepeatRules {
+const RULES: RetryBudgetRules = RetryBudgetRules {
     ratio: 0.2,
     slack: 62.0,
     window: Duration::from_secs(10),
 };
 const LONG_UP: Duration = Duration::from_hours(1);
 
-fn share(nodes: usize, uptime: Duration) -> RepeatShare {
-    RepeatShare {
+fn share(nodes: usize, uptime: Duration) -> RetryBudgetShare {
+    RetryBudgetShare {
         rules: RULES,
         nodes,
         uptime,
@@ -45,7 +45,7 @@
         .with_type::<Vec<(u8, bool, u16)>>()
         .for_each(|steps| {
             const NODES: usize = 5;
-            let mut nodes = vec![RepeatBudget::default(); NODES];
+            let mut nodes = vec![RetryBudget::default(); NODES];
             let mut taken: Vec<Timestamp> = Vec::new();
             let mut asked: Vec<Timestamp> = Vec::new();
             let mut now = Timestamp(0);
@@ -53,7 +53,7 @@
                 now = now + Duration::from_millis(u64::from(*span) % 2_000);
                 let node = &mut nodes[usize::from(*node) % NODES];
                 if *repeats {
-                    let granted = node.take(now, share(NODES, LONG_UP), 1.0);
+                    let granted = node.try_spend(now, share(NODES, LONG_UP), 1.0);
                     taken.extend(granted.then_some(now));
                 } else {
                     node.count_request(now, RULES);
@@ -76,8 +76,8 @@
     let mut spent = 0.0;
     for uptime in [LONG_UP, Duration::from_secs(1)] {
         for _ in 0..NODES {
-            let mut budget = RepeatBudget::default();
-            while budget.take(Timestamp(0), share(NODES, uptime), 1.0) {
+            let mut budget = RetryBudget::default();
+            while budget.try_spend(Timestamp(0), share(NODES, uptime), 1.0) {
                 spent += 1.0;
             }
         }
@@ -128,7 +128,7 @@
 
 struct ModelNode {
     service: usize,
-    budgets: HashMap<usize, RepeatBudget>,
+    budgets: HashMap<usize, RetryBudget>,
     calls: CallsPerRun,
 }
 
@@ -251,7 +251,7 @@
         let uptime = now.since(Timestamp(0));
         let nodes = self.nodes.len();
         let budget = self.nodes[entry].budgets.entry(service).or_default();
-        budget.take(now, share(nodes, uptime), 1.0)
+        budget.try_spend(now, share(nodes, uptime), 1.0)
     }
 
     /// Runs a request at some node of its service; a repeat only if that node can pay for its calls.
@@ -265,9 +265,9 @@
                 let called: usize = called.as_str()[1..].parse().expect("a number");
                 let (nodes, uptime) = (self.nodes.len(), now.since(Timestamp(0)));
                 let budget = self.nodes[node].budgets.entry(called).or_default();
-                if !budget.take(now, share(nodes, uptime), amount) {
+                if !budget.try_spend(now, share(nodes, uptime), amount) {
                     let entry = self.nodes[entry].budgets.entry(service);
-                    entry.or_default().give_back(1);
+                    entry.or_default().refund(1);
                     return;
                 }
             }
