--- a/src/local_mesh/store.rs
+++ b/src/local_mesh/store.rs
@@ -2,8 +2,8 @@
 
 use crate::{
     protocol::store::{
-        ConditionalAppend, KeyedRecord, PublicationStore, QUARANTINE_VALUE, Records, StateStore,
-        StoreError, StoreTopic, quarantine_key,
+        ConditionalAppend, KeyedRecord, PublicationStore, QUARANTINE_VALUE, RecordBatch,
+        StateStore, StoreError, StoreTopic, quarantine_key,
     },
     state::{
         names::AvailabilityZoneName, placement_view::NodeRecord, published::PublishedRecord,
@@ -94,7 +94,7 @@
         let records = contents.topics.entry(topic).or_default();
         let end = records.len() as u64;
         if expected_end.is_some_and(|expected| expected != end) {
-            return ConditionalAppend::Overtaken;
+            return ConditionalAppend::Conflict;
         }
         records.push(KeyedRecord {
             key: key.to_owned(),
@@ -106,11 +106,11 @@
         ConditionalAppend::Stored
     }
 
-    fn list_from(&self, topic: StoreTopic, from: u64) -> Records {
+    fn list_from(&self, topic: StoreTopic, from: u64) -> RecordBatch {
         let contents = self.lock();
         let records = contents.topics.get(&topic).map(Vec::as_slice);
         let records = records.unwrap_or_default();
-        Records {
+        RecordBatch {
             records: records
                 .iter()
                 .filter(|record| record.position >= from)
@@ -140,7 +140,7 @@
 }
 
 impl StateStore for LocalStore {
-    async fn read_newest(&self, topic: StoreTopic) -> Result<Records, StoreError> {
+    async fn read_newest(&self, topic: StoreTopic) -> Result<RecordBatch, StoreError> {
         self.check()?;
         let all = self.list_from(topic, 0);
         let newest: BTreeMap<String, KeyedRecord> = all
@@ -151,7 +151,7 @@
         let kept = newest.into_values().filter(|record| record.value.is_some());
         let mut records: Vec<KeyedRecord> = kept.collect();
         records.sort_by_key(|record| record.position);
-        Ok(Records {
+        Ok(RecordBatch {
             records,
             next: all.next,
         })
@@ -162,7 +162,7 @@
         topic: StoreTopic,
         from: u64,
         wait: Duration,
-    ) -> Result<Records, StoreError> {
+    ) -> Result<RecordBatch, StoreError> {
         self.check()?;
         // Without news in time the answer holds no records.
         let _ = timeout(wait, self.wait_for(topic, from)).await;
@@ -171,37 +171,40 @@
 
     async fn append_node(&self, record: &NodeRecord, value: &[u8]) -> Result<(), StoreError> {
         let condition = self.check()?;
-        self.append(StoreTopic::Nodes, &self.key_of(record), value);
+        self.append(StoreTopic::Nodes, &self.get_node_key(record), value);
         answer(condition, ())
     }
 
     async fn append_quarantine(
         &self,
         digest: RequestDigest,
-        is_kept: bool,
+        is_quarantined: bool,
     ) -> Result<(), StoreError> {
         let condition = self.check()?;
-        let value = is_kept.then_some(QUARANTINE_VALUE);
+        let value = is_quarantined.then_some(QUARANTINE_VALUE);
         let end = self.append_at(StoreTopic::Nodes, &quarantine_key(digest), value, None);
         answer(condition, end).map(|_| ())
     }
 
-    fn key_of(&self, record: &NodeRecord) -> String {
+    fn get_node_key(&self, record: &NodeRecord) -> String {
         record.address.to_string()
     }
 
-    async fn drop_node(
+    async fn delete_node(
         &self,
         record: &NodeRecord,
         expected_end: u64,
     ) -> Result<ConditionalAppend, StoreError> {
         let condition = self.check()?;
-        let key = self.key_of(record);
+        let key = self.get_node_key(record);
         let end = self.append_at(StoreTopic::Nodes, &key, None, Some(expected_end));
         answer(condition, end)
     }
 
-    fn find_evacuated(&self, record: &KeyedRecord) -> Option<Result<AvailabilityZoneName, String>> {
+    fn decode_evacuated_zone(
+        &self,
+        record: &KeyedRecord,
+    ) -> Option<Result<AvailabilityZoneName, String>> {
         let zone = record.key.strip_prefix(EVACUATION_KEY)?;
         Some(Ok(zone.into()))
     }
--- a/src/protocol/store.rs
+++ b/src/protocol/store.rs
@@ -34,7 +34,7 @@
     Deleted,
     /// The store has come back from a copy: another record stands at the place asked for, or none.
     #[error("the store has come back from a copy")]
-    OtherEra,
+    EpochChanged,
     /// The answer is not what the store's description says.
     #[error("malformed answer: {0}")]
     Malformed(&'static str),
@@ -53,7 +53,7 @@
 
 /// Newest records, or the records after a place, and the place to go on from.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Records {
+pub struct RecordBatch {
     /// In the order of the log.
     pub records: Vec<KeyedRecord>,
     /// Place of the next record, packed ([`StorePosition`](crate::state::store_position::StorePosition)).
@@ -76,14 +76,17 @@
 
 /// The request in quarantine that a key among the nodes is about, if it is about one.
 #[must_use]
-pub fn find_quarantined(key: &str) -> Option<RequestDigest> {
+pub fn parse_quarantine_key(key: &str) -> Option<RequestDigest> {
     key.strip_prefix(QUARANTINE_KEY)?.parse().ok()
 }
 
 /// A client of the store, as a node uses it.
 pub trait StateStore: Clone + 'static {
     /// The newest record of each key.
-    fn read_newest(&self, topic: StoreTopic) -> impl Future<Output = Result<Records, StoreError>>;
+    fn read_newest(
+        &self,
+        topic: StoreTopic,
+    ) -> impl Future<Output = Result<RecordBatch, StoreError>>;
 
     /// Records from a place on, as soon as there is one; none after `wait`.
     fn read_from(
@@ -91,7 +94,7 @@
         topic: StoreTopic,
         from: u64,
         wait: Duration,
-    ) -> impl Future<Output = Result<Records, StoreError>>;
+    ) -> impl Future<Output = Result<RecordBatch, StoreError>>;
 
     /// Appends a node's record, encoded as `value`, under the key of that node.
     fn append_node(
@@ -101,17 +104,17 @@
     ) -> impl Future<Output = Result<(), StoreError>>;
 
     /// The key under which a node's record is kept.
-    fn key_of(&self, record: &NodeRecord) -> String;
+    fn get_node_key(&self, record: &NodeRecord) -> String;
 
     /// Appends that a request is in quarantine, or drops that, under [`quarantine_key`].
     fn append_quarantine(
         &self,
         digest: RequestDigest,
-        is_kept: bool,
+        is_quarantined: bool,
     ) -> impl Future<Output = Result<(), StoreError>>;
 
     /// Drops the record of a node, if the topic still ends at the place `expected_end`.
-    fn drop_node(
+    fn delete_node(
         &self,
         record: &NodeRecord,
         expected_end: u64,
@@ -128,7 +131,10 @@
     ///
     /// # Errors
     /// What is wrong with the record, for the log.
-    fn find_evacuated(&self, record: &KeyedRecord) -> Option<Result<AvailabilityZoneName, String>>;
+    fn decode_evacuated_zone(
+        &self,
+        record: &KeyedRecord,
+    ) -> Option<Result<AvailabilityZoneName, String>>;
 }
 
 /// How a conditional append ended.
@@ -137,7 +143,7 @@
     /// It is stored.
     Stored,
     /// Another record came first; nothing is stored.
-    Overtaken,
+    Conflict,
 }
 
 /// A store that the product's own operators' interface publishes to.
--- a/src/proxy/following.rs
+++ b/src/proxy/following.rs
@@ -17,7 +17,7 @@
 };
 use crate::{
     coordination::store_reading::ReadingRole,
-    protocol::store::{KeyedRecord, Records, StateStore, StoreError, StoreTopic},
+    protocol::store::{KeyedRecord, RecordBatch, StateStore, StoreError, StoreTopic},
     proxy::{
         announcing::{RecordOrder, describe_own},
         core::ProxyCore,
@@ -110,7 +110,7 @@
                     let read = self.note_read(topic, &records, from.is_none());
                     self.take_records(topic, &records, read).await;
                 }
-                Err(StoreError::Deleted | StoreError::OtherEra) => {
+                Err(StoreError::Deleted | StoreError::EpochChanged) => {
                     next = None;
                     self.forget_place(topic);
                     urgent = Some(CallReason::Retry);
@@ -160,7 +160,7 @@
         from: Option<u64>,
         wait: Duration,
         reason: CallReason,
-    ) -> Result<Records, StoreError> {
+    ) -> Result<RecordBatch, StoreError> {
         let calls = &self.core.counters.store_calls;
         match from {
             None => {
@@ -174,7 +174,7 @@
         }
     }
 
-    async fn take_records(&self, topic: StoreTopic, records: &Records, read: TopicRead) {
+    async fn take_records(&self, topic: StoreTopic, records: &RecordBatch, read: TopicRead) {
         match topic {
             StoreTopic::Configuration => self.take_configuration(records, read),
             StoreTopic::Nodes => {
@@ -190,7 +190,7 @@
     }
 
     /// Records a read of the topic up to a place, and logs a return of the store.
-    fn note_read(&self, topic: StoreTopic, records: &Records, whole: bool) -> TopicRead {
+    fn note_read(&self, topic: StoreTopic, records: &RecordBatch, whole: bool) -> TopicRead {
         let core = &self.core;
         let before = self.copy_reads.read_up_to();
         let now = core.timers.now();
--- a/src/proxy/following/configuration.rs
+++ b/src/proxy/following/configuration.rs
@@ -7,7 +7,7 @@
 use crate::{
     protocol::{
         hop::StoredTable,
-        store::{Records, StateStore, StoreTopic},
+        store::{RecordBatch, StateStore, StoreTopic},
     },
     proxy::{directory::StateSource, evacuating::take_read_evacuations, events::ProxyEvent},
     state::evacuations::{EvacuationChange, EvacuationRead},
@@ -33,7 +33,7 @@
         }
     }
 
-    pub(super) fn take_configuration(&self, records: &Records, read: TopicRead) {
+    pub(super) fn take_configuration(&self, records: &RecordBatch, read: TopicRead) {
         let core = &self.core;
         // First, so that no request goes by the new routes to a zone that was evacuated before them.
         let changes = self.find_evacuations(records);
@@ -61,10 +61,10 @@
         }
     }
 
-    fn find_evacuations(&self, records: &Records) -> Vec<EvacuationChange> {
+    fn find_evacuations(&self, records: &RecordBatch) -> Vec<EvacuationChange> {
         let mut changes = Vec::new();
         for record in &records.records {
-            match self.store.find_evacuated(record) {
+            match self.store.decode_evacuated_zone(record) {
                 Some(Ok(zone)) => changes.push(EvacuationChange {
                     zone,
                     evacuated: record.value.is_some(),
--- a/src/proxy/following/nodes.rs
+++ b/src/proxy/following/nodes.rs
@@ -7,7 +7,7 @@
     write_own_again,
 };
 use crate::{
-    protocol::store::{KeyedRecord, Records, StateStore, find_quarantined},
+    protocol::store::{KeyedRecord, RecordBatch, StateStore, parse_quarantine_key},
     proxy::{
         announcing::take_stored,
         core::ProxyCore,
@@ -24,10 +24,10 @@
 use std::collections::HashSet;
 
 impl<S: StateStore> Follower<S> {
-    pub(super) async fn take_copy_of_nodes(&self, records: &Records) {
+    pub(super) async fn take_copy_of_nodes(&self, records: &RecordBatch) {
         let copy = records.records.iter();
         let copy: Vec<StoredRecord> = copy
-            .filter(|record| find_quarantined(&record.key).is_none())
+            .filter(|record| parse_quarantine_key(&record.key).is_none())
             .filter_map(|record| self.decode_node(record, record.value.as_ref()?))
             .collect();
         let quarantined = list_quarantined(&records.records);
@@ -35,12 +35,12 @@
     }
 
     /// Applies records of nodes; `whole` if they are the newest of all keys.
-    pub(super) async fn take_nodes(&self, records: &Records, whole: bool) {
+    pub(super) async fn take_nodes(&self, records: &RecordBatch, whole: bool) {
         let core = &self.core;
         let mut news = Vec::new();
         let mut own = None;
         for record in &records.records {
-            if let Some(digest) = find_quarantined(&record.key) {
+            if let Some(digest) = parse_quarantine_key(&record.key) {
                 self.take_quarantine(digest, record, whole);
                 continue;
             }
@@ -99,7 +99,7 @@
     /// Forgets the nodes whose keys the store held up to a revision and does no longer.
     fn forget(&self, is_dropped: impl Fn(&str) -> bool, up_to: u64) {
         let core = &self.core;
-        let by_key = |record: &NodeRecord| is_dropped(&self.store.key_of(record));
+        let by_key = |record: &NodeRecord| is_dropped(&self.store.get_node_key(record));
         let forgotten = core.directory.borrow_mut().forget_dropped(up_to, by_key);
         for record in forgotten {
             core.log(&ProxyEvent::NodeForgotten {
--- a/src/proxy/following/returning.rs
+++ b/src/proxy/following/returning.rs
@@ -4,7 +4,7 @@
 use crate::{
     protocol::{
         hop::StateMessage,
-        store::{KeyedRecord, find_quarantined},
+        store::{KeyedRecord, parse_quarantine_key},
     },
     proxy::{
         announcing::{RecordOrder, describe_own, take_stored},
@@ -98,7 +98,7 @@
 /// Requests that records of nodes hold in quarantine.
 pub(super) fn list_quarantined(records: &[KeyedRecord]) -> BTreeSet<RequestDigest> {
     let kept = records.iter().filter(|record| record.value.is_some());
-    kept.filter_map(|record| find_quarantined(&record.key))
+    kept.filter_map(|record| parse_quarantine_key(&record.key))
         .collect()
 }
 
--- a/src/proxy/publishing.rs
+++ b/src/proxy/publishing.rs
@@ -26,7 +26,7 @@
 async fn read_newest<S: StateStore>(store: &S) -> Result<Newest, StoreError> {
     let records = store.read_newest(StoreTopic::Configuration).await?;
     let mut newest_first = records.records.iter().rev();
-    let newest = newest_first.find(|record| store.find_evacuated(record).is_none());
+    let newest = newest_first.find(|record| store.decode_evacuated_zone(record).is_none());
     let newest = newest.and_then(|newest| newest.value.as_ref());
     let record = newest
         .map(|value| serde_json::from_slice(value))
@@ -64,7 +64,7 @@
         };
         match store_record(store, &record, newest.end).await {
             Ok(ConditionalAppend::Stored) => return accept(core, &record, request),
-            Ok(ConditionalAppend::Overtaken) => {}
+            Ok(ConditionalAppend::Conflict) => {}
             Err(StoreError::NoAnswer) => {
                 unanswered = true;
                 reason = StoreError::NoAnswer.to_string();
--- a/src/proxy/retiring.rs
+++ b/src/proxy/retiring.rs
@@ -146,13 +146,13 @@
     };
     let calls = &core.counters.store_calls;
     calls.count(StoreCall::Drop, CallReason::Retirement);
-    match store.drop_node(&record, end).await {
+    match store.delete_node(&record, end).await {
         Ok(ConditionalAppend::Stored) => core.log(&ProxyEvent::NodeRetired {
             known: record.name,
             address: suspect,
             instance: record.run.instance,
         }),
         // Looked at again in the next step, by what the store holds then.
-        Ok(ConditionalAppend::Overtaken) | Err(_) => {}
+        Ok(ConditionalAppend::Conflict) | Err(_) => {}
     }
 }
--- a/tests/integration/crash_counting.rs
+++ b/tests/integration/crash_counting.rs
@@ -5,7 +5,7 @@
     coordination::crash_counters::{CRASH_COUNTERS, order_crash_counters},
     protocol::{
         hop::{CrashFinding, StateMessage},
-        store::{find_quarantined, quarantine_key},
+        store::{parse_quarantine_key, quarantine_key},
     },
     state::{
         answered_requests::AnsweredRequests,
@@ -164,11 +164,11 @@
 #[test]
 fn quarantine_keys_are_no_nodes() {
     assert_eq!(
-        find_quarantined(&quarantine_key(digest(1))),
+        parse_quarantine_key(&quarantine_key(digest(1))),
         Some(digest(1))
     );
     for key in ["10.1.0.6", "n1", "quarantine/", "quarantine/xyz"] {
-        assert_eq!(find_quarantined(key), None, "{key}");
+        assert_eq!(parse_quarantine_key(key), None, "{key}");
     }
 }
 
