--- a/src/proxy/announcing.rs
+++ b/src/proxy/announcing.rs
@@ -5,7 +5,10 @@
     proxy::{
         core::ProxyCore,
         events::ProxyEvent,
-        executing::{ask_instance, confirm_instance, limit_for, note_cold_time, set_limit},
+        executing::{
+            compute_slot_limit, probe_instance, record_warmup_left, set_slot_limit,
+            verify_incarnation,
+        },
     },
     state::{placement_view::NodeRecord, run_identity::RunIdentity},
 };
@@ -44,10 +47,10 @@
         .borrow_mut()
         .apply_announcement(announcement);
     if effect == AnnouncementEffect::Changed && before.is_some() && before != identify_own(core) {
-        core.slots.restart();
+        core.slots.reset_incarnation_state();
     }
     if effect != AnnouncementEffect::Stale {
-        note_cold_time(core, &service, warmup_left);
+        record_warmup_left(core, &service, warmup_left);
     }
     if effect == AnnouncementEffect::Changed {
         core.log(&ProxyEvent::UpstreamAnnounced {
@@ -72,7 +75,7 @@
     if known.is_none_or(|known| known.instance == announcement.run.instance) {
         return false;
     }
-    let told = ask_instance(core, &announcement.service).await;
+    let told = probe_instance(core, &announcement.service).await;
     told.is_some_and(|told| told != announcement.run.instance)
 }
 
@@ -100,7 +103,7 @@
     let Some(record) = describe_own(core) else {
         return;
     };
-    set_limit(core, limit_for(record.slots));
+    set_slot_limit(core, compute_slot_limit(record.slots));
     core.directory.borrow_mut().take_own(record.clone());
     if core.stored_record.borrow().as_ref() == Some(&record) {
         return;
@@ -128,7 +131,7 @@
         core.local_upstream
             .borrow_mut()
             .record_departure(&record.run);
-    } else if unknown && !unchanged && confirm_instance(core, &record).await {
+    } else if unknown && !unchanged && verify_incarnation(core, &record).await {
         let announcement = Announcement {
             run: record.run.clone(),
             service: record.service.clone(),
@@ -141,8 +144,8 @@
             core.local_upstream
                 .borrow_mut()
                 .apply_announcement(announcement);
-            core.slots.recall_run();
-            set_limit(core, limit_for(record.slots));
+            core.slots.resume_incarnation();
+            set_slot_limit(core, compute_slot_limit(record.slots));
             core.directory.borrow_mut().take_own(record.clone());
             core.log(&ProxyEvent::UpstreamRecalled {
                 instance: record.run.instance.clone(),
--- a/src/proxy/crashes.rs
+++ b/src/proxy/crashes.rs
@@ -9,7 +9,7 @@
     proxy::{
         core::{ProxyCore, increment},
         events::ProxyEvent,
-        executing::has_ended,
+        executing::has_incarnation_ended,
         state_messages::{send_state, spread},
     },
     state::{
@@ -32,7 +32,7 @@
 const MAX_TRIED: usize = 12;
 
 /// A request that was aborted at an upstream.
-pub struct CutRequest {
+pub struct AbortedRequest {
     /// Its identity, for the log.
     pub request: String,
     /// What it asks for.
@@ -46,13 +46,13 @@
 /// Probes the local upstream after a connection closed without a response, and reports a crash to the request's keepers.
 ///
 /// Upstreams also close connections when they are full or lose a response, and keep running.
-pub async fn find_crash(core: &Rc<ProxyCore>, cut: CutRequest) -> bool {
+pub async fn detect_crash(core: &Rc<ProxyCore>, cut: AbortedRequest) -> bool {
     let (tx, rx) = flume::bounded(1);
     let core = Rc::clone(core);
     // Continues after a client disconnect: the request of that client may have caused the crash.
     spawn_local(async move {
-        let crashed =
-            !leaves(&core, &cut.run) && has_ended(&core, &cut.service, &cut.run.instance).await;
+        let crashed = !leaves(&core, &cut.run)
+            && has_incarnation_ended(&core, &cut.service, &cut.run.instance).await;
         if crashed {
             report_crash(&core, cut);
         }
@@ -69,8 +69,8 @@
     current.is_some_and(|current| current.identity == *run && current.leaving)
 }
 
-fn report_crash(core: &Rc<ProxyCore>, cut: CutRequest) {
-    let CutRequest {
+fn report_crash(core: &Rc<ProxyCore>, cut: AbortedRequest) {
+    let AbortedRequest {
         request,
         digest,
         run,
@@ -102,7 +102,7 @@
     core.answered_requests.borrow_mut().note(run, digest);
     if find_quarantine(core, digest).is_some() {
         let finding = CrashFinding::Answered(digest);
-        take_finding(core, &finding);
+        apply_finding(core, &finding);
         tell_all(core, finding);
     }
 }
@@ -121,7 +121,7 @@
 }
 
 /// Applies a finding that another node reports.
-pub fn take_finding(core: &Rc<ProxyCore>, finding: &CrashFinding) {
+pub fn apply_finding(core: &Rc<ProxyCore>, finding: &CrashFinding) {
     match finding {
         CrashFinding::Crashed {
             fingerprint: digest,
@@ -135,7 +135,7 @@
 }
 
 /// Applies a quarantine read from the store; true if it was not known.
-pub fn take_stored_quarantine(core: &Rc<ProxyCore>, digest: RequestDigest) -> bool {
+pub fn apply_stored_quarantine(core: &Rc<ProxyCore>, digest: RequestDigest) -> bool {
     put_in_quarantine(core, digest, QuarantineSource::Told)
 }
 
@@ -152,7 +152,7 @@
 }
 
 /// Propagates a quarantine to the zone, for nodes that were partitioned when it began.
-pub fn tell_zone_of_quarantine(core: &Rc<ProxyCore>, digest: RequestDigest) {
+pub fn propagate_quarantine_to_zone(core: &Rc<ProxyCore>, digest: RequestDigest) {
     tell(
         core,
         &core.list_zone_nodes(),
@@ -263,7 +263,7 @@
             return;
         };
         if to == core.settings.peers {
-            return take_finding(core, &finding);
+            return apply_finding(core, &finding);
         }
         if send_state(core, to, &message).await.is_some() {
             return;
--- a/src/proxy/entry.rs
+++ b/src/proxy/entry.rs
@@ -47,11 +47,11 @@
 const GOLDEN_RATIO: f64 = 0.618_033_988_749_895;
 
 /// The edge towards clients.
-pub struct ClientEdge {
+pub struct ClientHandler {
     core: Rc<ProxyCore>,
 }
 
-impl ClientEdge {
+impl ClientHandler {
     /// The edge of this node.
     #[must_use]
     pub fn new(core: Rc<ProxyCore>) -> Self {
@@ -59,7 +59,7 @@
     }
 }
 
-impl CallerHandler for ClientEdge {
+impl CallerHandler for ClientHandler {
     fn handle(&self, req: CallerRequest) -> LocalBoxFuture<'static, CallerReply> {
         let core = Rc::clone(&self.core);
         Box::pin(async move {
--- a/src/proxy/entry/carrier.rs
+++ b/src/proxy/entry/carrier.rs
@@ -19,7 +19,7 @@
             request_attempts::RequestAttempts,
         },
         events::ProxyEvent,
-        repeats::{count_request, give_back_repeats, take_repeat},
+        repeats::{count_request, return_retries, take_retry},
         reply::ClientEnd,
     },
     state::{
@@ -139,14 +139,14 @@
         if Mechanism::Hedging.is_off() {
             return;
         }
-        if self.under_way.len() == 1 && !self.search.has_waited() && self.take_repeat() {
+        if self.under_way.len() == 1 && !self.search.has_waited() && self.take_retry() {
             // Without another node to ask the first attempt is all there is.
             let _ = self.ask_next();
         }
     }
 
     fn repeat(&mut self) -> bool {
-        !Mechanism::Retries.is_off() && self.may_repeat() && self.take_repeat() && self.ask_next()
+        !Mechanism::Retries.is_off() && self.may_repeat() && self.take_retry() && self.ask_next()
     }
 
     fn may_repeat(&self) -> bool {
@@ -160,11 +160,11 @@
         self.attempts.arrivals().saturating_add(under_way) < self.call.route.max_attempts
     }
 
-    fn take_repeat(&mut self) -> bool {
+    fn take_retry(&mut self) -> bool {
         if !self.may_reach_another() {
             return false;
         }
-        let granted = take_repeat(&self.core, &self.call.service);
+        let granted = take_retry(&self.core, &self.call.service);
         if granted {
             self.paid = self.paid.saturating_add(1);
             increment(&self.core.counters.retries);
@@ -257,7 +257,7 @@
         let under_way = u16::try_from(self.under_way.len()).unwrap_or(u16::MAX);
         let arrivals = self.attempts.arrivals().saturating_add(under_way);
         let unspent = self.paid.saturating_sub(arrivals.saturating_sub(1));
-        give_back_repeats(&self.core, &self.call.service, unspent);
+        return_retries(&self.core, &self.call.service, unspent);
     }
 }
 
--- a/src/proxy/evacuating.rs
+++ b/src/proxy/evacuating.rs
@@ -10,7 +10,7 @@
         core::ProxyCore,
         directory::StateSource,
         events::ProxyEvent,
-        executing::refuse_waiting,
+        executing::refuse_queued_requests,
         state_messages::{ask_state, spread},
     },
     state::{
@@ -123,7 +123,7 @@
             source,
         });
         if zone == core.settings.availability_zone {
-            refuse_waiting(core);
+            refuse_queued_requests(core);
         }
     }
     for zone in ended {
--- a/src/proxy/executing.rs
+++ b/src/proxy/executing.rs
@@ -16,8 +16,8 @@
     proxy::{
         core::{ProxyCore, increment},
         crashes::find_quarantine,
-        repeats::{has_room_for_calls, take_calls},
-        stop::takes_work,
+        repeats::{has_call_budget, take_call_budget},
+        stop::accepts_work,
     },
     state::{request_digest::RequestDigest, timestamp::Timestamp},
     transport::callers::CallerRequest,
@@ -27,12 +27,12 @@
 use dispatch::dispatch;
 use http::Response;
 use pace::refresh_pace;
-pub use questions::{ask_instance, confirm_instance, has_ended};
+pub use questions::{has_incarnation_ended, probe_instance, verify_incarnation};
 use slots::{HeldSlot, wait_for_slot};
-pub use slots::{Slots, limit_for, refuse_waiting, set_limit};
+pub use slots::{Slots, compute_slot_limit, refuse_queued_requests, set_slot_limit};
 use std::{rc::Rc, time::Duration};
-pub use warmth::note_cold_time;
-use warmth::refresh_warmth;
+pub use warmth::record_warmup_left;
+use warmth::refresh_warmup;
 
 /// How an attempt at this node's upstream ended.
 #[derive(Debug)]
@@ -64,11 +64,11 @@
     if let Some((reason, finish)) = find_refusal(core, hop, digest) {
         return refuse(core, reason, finish);
     }
-    if hop.is_retry && !has_room_for_calls(core, &hop.class) {
+    if hop.is_retry && !has_call_budget(core, &hop.class) {
         return refuse(core, RefusalReason::RetryBudgetExhausted, Duration::ZERO);
     }
     refresh_pace(core).await;
-    refresh_warmth(core).await;
+    refresh_warmup(core).await;
     line.note_decision();
     let number = match offer(core, hop, arrived) {
         SlotDecision::Run(number) => number,
@@ -92,7 +92,7 @@
     let Some(time_left) = hop.time_left.checked_sub(waited) else {
         return refuse(core, RefusalReason::DeadlinePassed, Duration::ZERO);
     };
-    if hop.is_retry && !take_calls(core, &hop.class) {
+    if hop.is_retry && !take_call_budget(core, &hop.class) {
         return refuse(core, RefusalReason::RetryBudgetExhausted, Duration::ZERO);
     }
     increment(&core.counters.executed);
@@ -135,12 +135,12 @@
     if let Some(left) = find_quarantine(core, digest) {
         return Some((RefusalReason::Quarantined, left));
     }
-    find_closed(core, hop).map(|reason| (reason, Duration::ZERO))
+    find_unavailability_reason(core, hop).map(|reason| (reason, Duration::ZERO))
 }
 
 /// Why no work of that kind is taken.
-fn find_closed(core: &ProxyCore, hop: &HopRequest) -> Option<RefusalReason> {
-    if !takes_work(core, hop.time_left) {
+fn find_unavailability_reason(core: &ProxyCore, hop: &HopRequest) -> Option<RefusalReason> {
+    if !accepts_work(core, hop.time_left) {
         return Some(RefusalReason::Draining);
     }
     if core.evacuations.contains(&core.settings.availability_zone) {
--- a/src/proxy/executing/dispatch.rs
+++ b/src/proxy/executing/dispatch.rs
@@ -9,7 +9,7 @@
     },
     proxy::{
         core::ProxyCore,
-        crashes::{CutRequest, find_crash, note_answered_here},
+        crashes::{AbortedRequest, detect_crash, note_answered_here},
         events::ProxyEvent,
         executing::pace::note_load,
     },
@@ -82,7 +82,7 @@
     let now = core.timers.now();
     let is_cut = matches!(sent, Err(SendError::Disconnected));
     let result = judge(core, sent, &run.instance);
-    let cut = is_cut.then(|| CutRequest {
+    let cut = is_cut.then(|| AbortedRequest {
         request: request_id,
         digest,
         run: run.clone(),
@@ -105,11 +105,11 @@
 }
 
 /// Whether the upstream has crashed, if it has cut a request. It takes no work for a while then.
-async fn is_crash(core: &Rc<ProxyCore>, cut: Option<CutRequest>) -> bool {
+async fn is_crash(core: &Rc<ProxyCore>, cut: Option<AbortedRequest>) -> bool {
     let Some(cut) = cut else {
         return false;
     };
-    let crashed = find_crash(core, cut).await;
+    let crashed = detect_crash(core, cut).await;
     if crashed {
         pause(core);
     }
--- a/src/proxy/executing/questions.rs
+++ b/src/proxy/executing/questions.rs
@@ -3,7 +3,7 @@
 use crate::{
     proxy::{
         core::{ProxyCore, increment},
-        executing::warmth::note_warmth,
+        executing::warmth::record_warmup_header,
     },
     state::{names::ServiceName, placement_view::NodeRecord},
     transport::outgoing::{ConnectionReuse, SendError, SendOptions},
@@ -21,7 +21,7 @@
 const BODY_LIMIT: usize = 64 * 1024;
 
 /// Whether the upstream says that it is the run of that record, and takes work.
-pub async fn confirm_instance(core: &Rc<ProxyCore>, record: &NodeRecord) -> bool {
+pub async fn verify_incarnation(core: &Rc<ProxyCore>, record: &NodeRecord) -> bool {
     let Some(uri) = find_health_uri(core, &record.service) else {
         return false;
     };
@@ -33,7 +33,7 @@
 }
 
 /// The identity that the upstream tells when it is asked; none if it does not answer.
-pub async fn ask_instance(core: &Rc<ProxyCore>, service: &ServiceName) -> Option<String> {
+pub async fn probe_instance(core: &Rc<ProxyCore>, service: &ServiceName) -> Option<String> {
     let uri = find_health_uri(core, service)?;
     let answer = send_question(core, uri, ConnectionReuse::Any).await.ok()?;
     read_instance(core, &answer).map(str::to_owned)
@@ -41,7 +41,11 @@
 
 /// Whether a run of the upstream has ended: connections are refused, or end without an answer where something else takes them,
 /// or another run answers. One that does not answer in time is there, and busy.
-pub async fn has_ended(core: &Rc<ProxyCore>, service: &ServiceName, instance: &str) -> bool {
+pub async fn has_incarnation_ended(
+    core: &Rc<ProxyCore>,
+    service: &ServiceName,
+    instance: &str,
+) -> bool {
     let upstream = core.settings.upstream;
     let Some(uri) = find_health_uri(core, service) else {
         return core
@@ -110,7 +114,7 @@
     tokio::select! {
         sent = core.outgoing.send(upstream, request, rules, is_answer) => {
             let answer = sent.map_err(QuestionError::Failed)?;
-            note_warmth(core, answer.headers());
+            record_warmup_header(core, answer.headers());
             Ok(answer)
         }
         _ = timeout.recv_async() => Err(QuestionError::OutOfTime),
--- a/src/proxy/executing/slots.rs
+++ b/src/proxy/executing/slots.rs
@@ -54,7 +54,7 @@
     }
 
     /// Forgets what holds for one run of the upstream only.
-    pub fn restart(&self) {
+    pub fn reset_incarnation_state(&self) {
         self.paused_until.set(Timestamp::default());
         self.pace.restart();
         self.warmth_told_at.set(None);
@@ -62,7 +62,7 @@
     }
 
     /// Records that the current run of the upstream got requests of an earlier process of this node.
-    pub fn recall_run(&self) {
+    pub fn resume_incarnation(&self) {
         self.queue.borrow_mut().recall_run();
     }
 
@@ -121,7 +121,7 @@
 
 /// Requests that are let run at once at an upstream with that many slots.
 #[must_use]
-pub fn limit_for(slots: u16) -> usize {
+pub fn compute_slot_limit(slots: u16) -> usize {
     if Mechanism::SlotLimit.is_off() {
         return usize::from(slots).max(1);
     }
@@ -135,14 +135,14 @@
 }
 
 /// Takes a new limit of running requests.
-pub fn set_limit(core: &Rc<ProxyCore>, limit: usize) {
+pub fn set_slot_limit(core: &Rc<ProxyCore>, limit: usize) {
     let now = core.timers.now();
     let actions = core.slots.queue.borrow_mut().set_limit(limit, now);
     apply(core, actions);
 }
 
 /// Takes all requests that wait out of the queue and refuses them, so that other nodes run them.
-pub fn refuse_waiting(core: &Rc<ProxyCore>) {
+pub fn refuse_queued_requests(core: &Rc<ProxyCore>) {
     let actions = core.slots.queue.borrow_mut().withdraw_all();
     apply(core, actions);
 }
--- a/src/proxy/executing/warmth.rs
+++ b/src/proxy/executing/warmth.rs
@@ -16,7 +16,7 @@
 const FRESH: Duration = Duration::from_millis(250);
 
 /// Records the remaining warmup time that the upstream reports.
-pub fn note_cold_time(core: &ProxyCore, service: &ServiceName, left: Duration) {
+pub fn record_warmup_left(core: &ProxyCore, service: &ServiceName, left: Duration) {
     let Some(cold) = find_cold_service(core, service).filter(|_| !left.is_zero()) else {
         return;
     };
@@ -40,12 +40,12 @@
 }
 
 /// Records the warmup time from a health response.
-pub fn note_warmth(core: &ProxyCore, headers: &HeaderMap) {
+pub fn record_warmup_header(core: &ProxyCore, headers: &HeaderMap) {
     core.slots.warmth_told_at.set(Some(core.timers.now()));
     let header = headers.get(&core.settings.headers.warmup_left);
     let millis = header.and_then(|value| value.to_str().ok()?.trim().parse().ok());
     if let Some(millis) = millis {
-        note_cold_time(core, &find_own_service(core), Duration::from_millis(millis));
+        record_warmup_left(core, &find_own_service(core), Duration::from_millis(millis));
     }
 }
 
@@ -58,7 +58,7 @@
 }
 
 /// Probes whether the upstream is cold, unless this is known recently enough or its service has no limit.
-pub async fn refresh_warmth(core: &Rc<ProxyCore>) {
+pub async fn refresh_warmup(core: &Rc<ProxyCore>) {
     let differs = find_cold_service(core, &find_own_service(core)).is_some();
     let now = core.timers.now();
     let told_at = core.slots.warmth_told_at.get();
--- a/src/proxy/following/nodes.rs
+++ b/src/proxy/following/nodes.rs
@@ -11,7 +11,7 @@
     proxy::{
         announcing::take_stored,
         core::ProxyCore,
-        crashes::{take_stored_quarantine, tell_zone_of_quarantine},
+        crashes::{apply_stored_quarantine, propagate_quarantine_to_zone},
         directory::StateSource,
         events::ProxyEvent,
         state_sharing::share_with_zone,
@@ -90,9 +90,9 @@
 
     /// At a start all nodes read the same, so only what comes later is told to the zone.
     fn take_quarantine(&self, digest: RequestDigest, record: &KeyedRecord, whole: bool) {
-        let news = record.value.is_some() && take_stored_quarantine(&self.core, digest);
+        let news = record.value.is_some() && apply_stored_quarantine(&self.core, digest);
         if news && !whole {
-            tell_zone_of_quarantine(&self.core, digest);
+            propagate_quarantine_to_zone(&self.core, digest);
         }
     }
 
--- a/src/proxy/peers.rs
+++ b/src/proxy/peers.rs
@@ -87,11 +87,11 @@
 }
 
 /// The node as other nodes meet it.
-pub struct PeerEdge {
+pub struct PeerHandler {
     core: Rc<ProxyCore>,
 }
 
-impl PeerEdge {
+impl PeerHandler {
     /// The edge of this node.
     #[must_use]
     pub fn new(core: Rc<ProxyCore>) -> Self {
@@ -99,7 +99,7 @@
     }
 }
 
-impl CallerHandler for PeerEdge {
+impl CallerHandler for PeerHandler {
     fn handle(&self, req: CallerRequest) -> LocalBoxFuture<'static, CallerReply> {
         let core = Rc::clone(&self.core);
         Box::pin(async move {
--- a/src/proxy/repeats.rs
+++ b/src/proxy/repeats.rs
@@ -22,7 +22,7 @@
 }
 
 /// Takes one repeat at a service; false if the budget does not hold it.
-pub fn take_repeat(core: &ProxyCore, service: &ServiceName) -> bool {
+pub fn take_retry(core: &ProxyCore, service: &ServiceName) -> bool {
     let share = find_share(core);
     let mut budgets = core.retry_budgets.borrow_mut();
     let budget = budgets.entry(service.clone()).or_default();
@@ -30,21 +30,21 @@
 }
 
 /// Gives repeats back that were taken and reached no upstream.
-pub fn give_back_repeats(core: &ProxyCore, service: &ServiceName, repeats: u16) {
+pub fn return_retries(core: &ProxyCore, service: &ServiceName, repeats: u16) {
     if let Some(budget) = core.retry_budgets.borrow_mut().get_mut(service) {
         budget.refund(repeats);
     }
 }
 
 /// Whether the budgets hold the calls that a repeated run of a class makes again.
-pub fn has_room_for_calls(core: &ProxyCore, class: &ClassName) -> bool {
+pub fn has_call_budget(core: &ProxyCore, class: &ClassName) -> bool {
     let calls = ExpectedCalls::of_run(core, class);
     calls.check_each(&mut core.retry_budgets.borrow_mut(), RetryBudget::can_spend)
 }
 
 /// Takes the calls that a repeated run of a class makes again; false, and nothing taken, if a budget does not hold
 /// them.
-pub fn take_calls(core: &ProxyCore, class: &ClassName) -> bool {
+pub fn take_call_budget(core: &ProxyCore, class: &ClassName) -> bool {
     let calls = ExpectedCalls::of_run(core, class);
     let mut budgets = core.retry_budgets.borrow_mut();
     calls.check_each(&mut budgets, RetryBudget::can_spend)
--- a/src/proxy/start.rs
+++ b/src/proxy/start.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     proxy::{
-        core::ProxyCore, entry::ClientEdge, events::ProxyEvent, peers::PeerEdge,
+        core::ProxyCore, entry::ClientHandler, events::ProxyEvent, peers::PeerHandler,
         stop::stop_gracefully,
     },
     transport::callers::{CallerLimits, serve_callers},
@@ -38,13 +38,13 @@
         listeners.clients,
         limits(),
         core.timers.clone(),
-        Rc::new(ClientEdge::new(Rc::clone(core))),
+        Rc::new(ClientHandler::new(Rc::clone(core))),
     ));
     spawn_local(serve_callers(
         listeners.peers,
         limits(),
         core.timers.clone(),
-        Rc::new(PeerEdge::new(Rc::clone(core))),
+        Rc::new(PeerHandler::new(Rc::clone(core))),
     ));
     core.log(&ProxyEvent::NodeStarted {
         address: core.settings.peers,
--- a/src/proxy/state_sharing.rs
+++ b/src/proxy/state_sharing.rs
@@ -5,7 +5,7 @@
     protocol::hop::StateMessage,
     proxy::{
         core::ProxyCore,
-        crashes::take_finding,
+        crashes::apply_finding,
         directory::StateSource,
         evacuating::take_told_evacuations,
         events::ProxyEvent,
@@ -140,7 +140,7 @@
         take_told_evacuations(core, evacuations);
     }
     if let Some(finding) = &message.finding {
-        take_finding(core, finding);
+        apply_finding(core, finding);
     }
     for stored in message.nodes {
         core.apply_record(stored, StateSource::Peer);
--- a/src/proxy/stop.rs
+++ b/src/proxy/stop.rs
@@ -27,7 +27,7 @@
 /// Whether work may be given to the upstream that is to end within `time_left`. What can't end before the
 /// process is killed would be cut off.
 #[must_use]
-pub fn takes_work(core: &ProxyCore, time_left: Duration) -> bool {
+pub fn accepts_work(core: &ProxyCore, time_left: Duration) -> bool {
     let Some(since) = core.stopping_since.get() else {
         return true;
     };
