--- a/src/proxy.rs
+++ b/src/proxy.rs
@@ -4,25 +4,25 @@
 //! All state lives on one event-loop thread. `docs/design/platform.md` tells the way of a request.
 
 pub mod announcing;
+mod client_reply;
 pub mod core;
-mod crashes;
+mod crash_detection;
 pub mod directory;
 mod entry;
 pub mod evacuating;
 pub mod events;
 mod executing;
 mod following;
+mod graceful_stop;
 pub mod metrics;
 pub mod operating;
-mod peers;
+mod peer_requests;
 mod publishing;
-mod repeats;
-mod reply;
 mod retiring;
+mod retry_budgets;
 mod start;
 mod state_messages;
 mod state_sharing;
-mod stop;
 pub mod store_calls;
 mod table_fetching;
 mod table_offering;
--- a/src/proxy/reply.rs
+++ b/src/proxy/client_reply.rs
@@ -5,7 +5,7 @@
         hop::get_variant_name,
         outcome::{RefusalReason, UnknownCause},
     },
-    proxy::peers::pass_on,
+    proxy::peer_requests::pass_on,
     transport::callers::{CallerReply, reply_json},
 };
 use bytes::Bytes;
@@ -14,7 +14,7 @@
 
 /// How a client's request ended.
 #[derive(Debug)]
-pub enum ClientEnd {
+pub enum RequestOutcome {
     /// An upstream's whole answer.
     Answered(Box<Response<Bytes>>),
     /// It did not run and never will; it may be tried again after the time given.
@@ -27,10 +27,10 @@
 
 /// The reply for that end.
 #[must_use]
-pub fn build_reply(end: ClientEnd) -> CallerReply {
+pub fn build_reply(end: RequestOutcome) -> CallerReply {
     match end {
-        ClientEnd::Answered(response) => pass_on(*response),
-        ClientEnd::Refused(reason, after) => {
+        RequestOutcome::Answered(response) => pass_on(*response),
+        RequestOutcome::Refused(reason, after) => {
             let text = format!("not run: {}", get_variant_name(&reason));
             let mut reply = reply_json(StatusCode::SERVICE_UNAVAILABLE, &text);
             let seconds = format!("{:.3}", after.as_secs_f64());
@@ -39,13 +39,13 @@
             }
             reply
         }
-        ClientEnd::Unknown(UnknownCause::DeadlinePassed) => {
+        RequestOutcome::Unknown(UnknownCause::DeadlinePassed) => {
             reply_json(StatusCode::GATEWAY_TIMEOUT, "no answer within the deadline")
         }
-        ClientEnd::Unknown(cause) => {
+        RequestOutcome::Unknown(cause) => {
             let text = format!("unknown whether it ran: {}", get_variant_name(&cause));
             reply_json(StatusCode::BAD_GATEWAY, &text)
         }
-        ClientEnd::NoRoute => reply_json(StatusCode::NOT_FOUND, "no route"),
+        RequestOutcome::NoRoute => reply_json(StatusCode::NOT_FOUND, "no route"),
     }
 }
--- a/src/proxy/core.rs
+++ b/src/proxy/core.rs
@@ -1,7 +1,7 @@
 //! What the parts of a node share on its event-loop thread.
 
 mod counters;
-mod duties;
+mod mesh_roles;
 
 pub use self::counters::{ProxyCounters, increment};
 
--- a/src/proxy/entry.rs
+++ b/src/proxy/entry.rs
@@ -1,22 +1,22 @@
 //! The node as the clients on its VM meet it.
 
 mod attempt;
-mod carrier;
-mod first_knowledge;
 mod request_attempts;
-mod request_line;
+mod request_log_line;
+mod request_router;
+mod startup_wait;
 
 use crate::{
     protocol::outcome::{RefusalReason, UnknownCause},
     proxy::{
+        client_reply::{RequestOutcome, build_reply},
         core::{ProxyCore, increment},
-        crashes::find_quarantine,
+        crash_detection::find_quarantine,
         entry::{
-            carrier::{Carrier, ClientCall},
-            first_knowledge::wait_while_starting,
-            request_line::RequestLine,
+            request_log_line::RequestLogLine,
+            request_router::{ClientCall, RequestRouter},
+            startup_wait::wait_while_starting,
         },
-        reply::{ClientEnd, build_reply},
     },
     state::{
         names::{ClassName, ServiceName},
@@ -68,7 +68,7 @@
             let mut req = req;
             ensure_request_id(&core, &mut req);
             let digest = req.digest();
-            let mut line = RequestLine::begin(&core, &req, digest);
+            let mut line = RequestLogLine::begin(&core, &req, digest);
             let end = carry_request(&core, req, digest, &mut line).await;
             count_end(&core, &end, line.class(), core.timers.now().since(arrived));
             line.end(&end);
@@ -127,23 +127,23 @@
 
 fn count_end(
     core: &ProxyCore,
-    end: &ClientEnd,
+    end: &RequestOutcome,
     class: Option<(ClassName, Duration)>,
     took: Duration,
 ) {
     let counters = &core.counters;
     match end {
-        ClientEnd::Answered(_) => increment(&counters.answered),
-        ClientEnd::Refused(..) | ClientEnd::NoRoute => increment(&counters.refused),
-        ClientEnd::Unknown(_) => increment(&counters.unknown),
+        RequestOutcome::Answered(_) => increment(&counters.answered),
+        RequestOutcome::Refused(..) | RequestOutcome::NoRoute => increment(&counters.refused),
+        RequestOutcome::Unknown(_) => increment(&counters.unknown),
     }
     let Some((class, target)) = class else {
         return;
     };
     core.count_class(&class, |counts| match end {
-        ClientEnd::Answered(_) => counts.count_answer(took, target),
-        ClientEnd::Refused(..) | ClientEnd::NoRoute => counts.count_refusal(),
-        ClientEnd::Unknown(_) => counts.count_unknown(),
+        RequestOutcome::Answered(_) => counts.count_answer(took, target),
+        RequestOutcome::Refused(..) | RequestOutcome::NoRoute => counts.count_refusal(),
+        RequestOutcome::Unknown(_) => counts.count_unknown(),
     });
 }
 
@@ -157,22 +157,22 @@
     core: &Rc<ProxyCore>,
     req: CallerRequest,
     digest: RequestDigest,
-    line: &mut RequestLine,
-) -> ClientEnd {
+    line: &mut RequestLogLine,
+) -> RequestOutcome {
     let arrived = core.timers.now();
     if stops_soon(core, arrived) {
-        return ClientEnd::Refused(RefusalReason::Draining, STOPPING_RETRY);
+        return RequestOutcome::Refused(RefusalReason::Draining, STOPPING_RETRY);
     }
     wait_while_starting(core, || core.routes().is_some()).await;
     let Some(routes) = core.routes() else {
-        return ClientEnd::Refused(RefusalReason::NoUpstream, NO_ROUTES_RETRY);
+        return RequestOutcome::Refused(RefusalReason::NoUpstream, NO_ROUTES_RETRY);
     };
     let Some(route) = routes.find(req.host(), req.uri.path()).cloned() else {
         return end_without_route(core);
     };
     drop(routes);
     if is_configuration_overdue(core) {
-        return ClientEnd::Refused(RefusalReason::ConfigurationOverdue, NO_ROUTES_RETRY);
+        return RequestOutcome::Refused(RefusalReason::ConfigurationOverdue, NO_ROUTES_RETRY);
     }
     let asked = read_time_left(core, &req);
     let time_left = asked.map_or(route.timeout, |asked| asked.min(route.timeout));
@@ -181,16 +181,16 @@
     };
     line.note_route(&route, &service, time_left);
     if time_left.is_zero() {
-        return ClientEnd::Unknown(UnknownCause::DeadlinePassed);
+        return RequestOutcome::Unknown(UnknownCause::DeadlinePassed);
     }
     if let Some(left) = find_quarantine(core, digest) {
-        return ClientEnd::Refused(RefusalReason::Quarantined, left);
+        return RequestOutcome::Refused(RefusalReason::Quarantined, left);
     }
     wait_while_starting(core, || core.has_records() || knows_node_of(core, &service)).await;
     let deadline = arrived + time_left;
     let left = deadline.since(core.timers.now());
     if left.is_zero() {
-        return ClientEnd::Refused(RefusalReason::NoUpstream, NO_ROUTES_RETRY);
+        return RequestOutcome::Refused(RefusalReason::NoUpstream, NO_ROUTES_RETRY);
     }
     let call = ClientCall {
         req,
@@ -201,7 +201,7 @@
         deadline,
     };
     let timeout = core.timers.after(left);
-    let mut carrier = Carrier::new(core, call, line.attempts());
+    let mut carrier = RequestRouter::new(core, call, line.attempts());
     tokio::select! {
         end = carrier.run() => end,
         _ = timeout.recv_async() => carrier.end_at_deadline(),
@@ -210,11 +210,11 @@
 
 /// A client doesn't come back after it was told that there is no route. A node that has heard of a newer configuration doesn't
 /// know that: the route may be in it.
-fn end_without_route(core: &ProxyCore) -> ClientEnd {
+fn end_without_route(core: &ProxyCore) -> RequestOutcome {
     if core.table_sources.borrow().heard() > core.directory.borrow().version() {
-        return ClientEnd::Refused(RefusalReason::ConfigurationBehind, NO_ROUTES_RETRY);
+        return RequestOutcome::Refused(RefusalReason::ConfigurationBehind, NO_ROUTES_RETRY);
     }
-    ClientEnd::NoRoute
+    RequestOutcome::NoRoute
 }
 
 /// Whether the configuration in force may no longer decide: other nodes have reported a newer one for long, and its
--- a/src/proxy/entry/attempt.rs
+++ b/src/proxy/entry/attempt.rs
@@ -7,10 +7,10 @@
     },
     proxy::{
         core::ProxyCore,
-        entry::{carrier::ClientCall, request_attempts::RequestAttempts},
+        entry::{request_attempts::RequestAttempts, request_router::ClientCall},
         events::{LoggedEnd, ProxyEvent, in_millis},
-        executing::{Executed, execute},
-        peers::send_hop,
+        executing::{CompletedAttempt, execute},
+        peer_requests::send_hop,
     },
     state::{ablation::Mechanism, placement_view::NodeView, timestamp::Timestamp},
     transport::{callers::CallerRequest, outgoing::SendError},
@@ -30,7 +30,7 @@
     /// The node asked.
     pub to: SocketAddr,
     /// What it said.
-    pub result: Result<Executed, SendError>,
+    pub result: Result<CompletedAttempt, SendError>,
 }
 
 /// Runs one attempt and learns from its end.
@@ -48,7 +48,7 @@
         send_hop(&core, to, &hop, &call.req).await
     };
     outstanding.end(&result);
-    if let Ok(Executed {
+    if let Ok(CompletedAttempt {
         response: Some(response),
         ..
     }) = &result
@@ -60,7 +60,7 @@
 }
 
 /// The time told with a refusal, or the one told with any other end; 0 if it is not that.
-fn read_answer(result: &Result<Executed, SendError>, refused: bool) -> u64 {
+fn read_answer(result: &Result<CompletedAttempt, SendError>, refused: bool) -> u64 {
     result.as_ref().map_or(0, |executed| {
         let answer = &executed.answer;
         let fits = matches!(answer.outcome, AttemptOutcome::Refused(_)) == refused;
@@ -72,7 +72,7 @@
     })
 }
 
-fn describe_end(result: &Result<Executed, SendError>) -> LoggedEnd {
+fn describe_end(result: &Result<CompletedAttempt, SendError>) -> LoggedEnd {
     match result {
         Ok(executed) => match (executed.answer.outcome, &executed.response) {
             (AttemptOutcome::Answered, Some(response)) => {
@@ -135,7 +135,7 @@
         }
     }
 
-    fn end(&self, result: &Result<Executed, SendError>) {
+    fn end(&self, result: &Result<CompletedAttempt, SendError>) {
         self.ended.set(true);
         self.learn(result);
         let pace = result
@@ -163,7 +163,7 @@
         });
     }
 
-    fn learn(&self, result: &Result<Executed, SendError>) {
+    fn learn(&self, result: &Result<CompletedAttempt, SendError>) {
         let Ok(executed) = result else {
             return self.leave_out();
         };
--- a/src/proxy/entry/request_line.rs
+++ b/src/proxy/entry/request_log_line.rs
@@ -2,10 +2,10 @@
 
 use crate::{
     proxy::{
+        client_reply::RequestOutcome,
         core::ProxyCore,
         entry::request_attempts::RequestAttempts,
         events::{LoggedEnd, ProxyEvent, Weight, in_millis},
-        reply::ClientEnd,
     },
     state::{
         names::{ClassName, ServiceName},
@@ -19,7 +19,7 @@
 
 /// Collects what decided about a request. One that is dropped before its end tells that the client
 /// went away.
-pub struct RequestLine {
+pub struct RequestLogLine {
     core: Rc<ProxyCore>,
     request: String,
     digest: RequestDigest,
@@ -33,7 +33,7 @@
     ended: bool,
 }
 
-impl RequestLine {
+impl RequestLogLine {
     pub fn begin(core: &Rc<ProxyCore>, req: &CallerRequest, digest: RequestDigest) -> Self {
         Self {
             request: core.read_request_id(&req.headers),
@@ -69,12 +69,12 @@
     }
 
     /// Writes the line.
-    pub fn end(mut self, end: &ClientEnd) {
+    pub fn end(mut self, end: &RequestOutcome) {
         self.write(match end {
-            ClientEnd::Answered(response) => LoggedEnd::Answered(response.status().as_u16()),
-            ClientEnd::Refused(reason, _) => LoggedEnd::Refused(*reason),
-            ClientEnd::Unknown(cause) => LoggedEnd::Unknown(*cause),
-            ClientEnd::NoRoute => LoggedEnd::NoRoute,
+            RequestOutcome::Answered(response) => LoggedEnd::Answered(response.status().as_u16()),
+            RequestOutcome::Refused(reason, _) => LoggedEnd::Refused(*reason),
+            RequestOutcome::Unknown(cause) => LoggedEnd::Unknown(*cause),
+            RequestOutcome::NoRoute => LoggedEnd::NoRoute,
         });
     }
 
@@ -113,7 +113,7 @@
     }
 }
 
-impl Drop for RequestLine {
+impl Drop for RequestLogLine {
     fn drop(&mut self) {
         if !self.ended {
             self.write(LoggedEnd::ClientLeft);
--- a/src/proxy/entry/carrier.rs
+++ b/src/proxy/entry/request_router.rs
@@ -1,6 +1,6 @@
 //! Carries one request: asks nodes for a slot until one runs it.
 
-mod judging;
+mod attempt_results;
 
 use crate::{
     coordination::{
@@ -12,15 +12,15 @@
         outcome::{RefusalReason, UnknownCause},
     },
     proxy::{
+        client_reply::RequestOutcome,
         core::{ProxyCore, increment},
-        crashes::find_quarantine,
+        crash_detection::find_quarantine,
         entry::{
             attempt::{Returned, run_attempt},
             request_attempts::RequestAttempts,
         },
         events::ProxyEvent,
-        repeats::{count_request, return_retries, take_retry},
-        reply::ClientEnd,
+        retry_budgets::{count_request, return_retries, take_retry},
     },
     state::{
         ablation::Mechanism,
@@ -31,8 +31,8 @@
     },
     transport::callers::CallerRequest,
 };
+use attempt_results::Step;
 use futures::{StreamExt, future::LocalBoxFuture, stream::FuturesUnordered};
-use judging::Step;
 use rand::RngExt;
 use std::{net::SocketAddr, ops::Range, rc::Rc, time::Duration};
 
@@ -56,20 +56,20 @@
 }
 
 /// Carries one request.
-pub struct Carrier {
+pub struct RequestRouter {
     core: Rc<ProxyCore>,
     call: Rc<ClientCall>,
     under_way: FuturesUnordered<LocalBoxFuture<'static, Returned>>,
     search: SlotSearch,
     attempts: Rc<RequestAttempts>,
     /// What an upstream answered, or why it is not known whether one ran the request.
-    earlier: Option<ClientEnd>,
+    earlier: Option<RequestOutcome>,
     last_refusal: RefusalReason,
     /// Repeats taken from the budget.
     paid: u16,
 }
 
-impl Carrier {
+impl RequestRouter {
     pub fn new(core: &Rc<ProxyCore>, call: ClientCall, attempts: Rc<RequestAttempts>) -> Self {
         count_request(core, &call.service);
         let kilobytes = core.class_bytes.borrow().usual(&call.route.class) / 1_000.0;
@@ -87,7 +87,7 @@
     }
 
     /// Ends with the first answer, or with what is known when no node is left to ask.
-    pub async fn run(&mut self) -> ClientEnd {
+    pub async fn run(&mut self) -> RequestOutcome {
         if !self.ask_next() {
             return self.give_up();
         }
@@ -116,15 +116,15 @@
     }
 
     /// What the client is told when its time is over.
-    pub fn end_at_deadline(&mut self) -> ClientEnd {
+    pub fn end_at_deadline(&mut self) -> RequestOutcome {
         match self.earlier.take() {
             Some(end) => end,
             None if self.attempts.arrivals() == 0 && self.under_way.is_empty() => self.refuse(),
-            None => ClientEnd::Unknown(UnknownCause::DeadlinePassed),
+            None => RequestOutcome::Unknown(UnknownCause::DeadlinePassed),
         }
     }
 
-    fn take_step(&mut self, step: Step) -> Option<ClientEnd> {
+    fn take_step(&mut self, step: Step) -> Option<RequestOutcome> {
         let goes_on = match step {
             Step::End(end) => return Some(end),
             Step::Elsewhere | Step::Repeat if !self.under_way.is_empty() => true,
@@ -235,23 +235,23 @@
             .push(Box::pin(run_attempt(core, call, attempts, to, hop)));
     }
 
-    fn give_up(&mut self) -> ClientEnd {
+    fn give_up(&mut self) -> RequestOutcome {
         match self.earlier.take() {
             Some(end) => end,
             None => self.refuse(),
         }
     }
 
-    fn refuse(&self) -> ClientEnd {
+    fn refuse(&self) -> RequestOutcome {
         if let Some(left) = find_quarantine(&self.core, self.call.digest) {
-            return ClientEnd::Refused(RefusalReason::Quarantined, left);
+            return RequestOutcome::Refused(RefusalReason::Quarantined, left);
         }
         let spread = rand::rng().random_range(COME_BACK_SPREAD);
-        ClientEnd::Refused(self.last_refusal, self.search.find_come_back(spread))
+        RequestOutcome::Refused(self.last_refusal, self.search.find_come_back(spread))
     }
 }
 
-impl Drop for Carrier {
+impl Drop for RequestRouter {
     /// What no upstream saw was no repeat. An attempt that is under way may still reach one.
     fn drop(&mut self) {
         let under_way = u16::try_from(self.under_way.len()).unwrap_or(u16::MAX);
--- a/src/proxy/entry/carrier/judging.rs
+++ b/src/proxy/entry/request_router/attempt_results.rs
@@ -7,10 +7,10 @@
         outcome::{RefusalReason, UnknownCause},
     },
     proxy::{
-        crashes::clear_suspect,
-        entry::{attempt::Returned, carrier::Carrier},
-        executing::Executed,
-        reply::ClientEnd,
+        client_reply::RequestOutcome,
+        crash_detection::clear_suspect,
+        entry::{attempt::Returned, request_router::RequestRouter},
+        executing::CompletedAttempt,
     },
     transport::outgoing::SendError,
 };
@@ -21,19 +21,19 @@
 /// What an attempt's end means for the request.
 pub enum Step {
     /// The request ends with it.
-    End(ClientEnd),
+    End(RequestOutcome),
     /// It did not reach an upstream; another node may be asked.
     Elsewhere,
     /// It reached an upstream; another one costs a repeat.
     Repeat,
 }
 
-impl Carrier {
+impl RequestRouter {
     /// Learns from the end of an attempt.
     pub fn judge(&mut self, returned: Returned) -> Step {
         let Returned { to, result } = returned;
         match result {
-            Ok(Executed { answer, response }) => self.judge_answer(to, answer, response),
+            Ok(CompletedAttempt { answer, response }) => self.judge_answer(to, answer, response),
             Err(SendError::NotSent) => {
                 self.last_refusal = RefusalReason::NotSent;
                 Step::Elsewhere
@@ -72,7 +72,8 @@
             (AttemptOutcome::Refused(RefusalReason::Quarantined), _)
                 if self.under_way.is_empty() =>
             {
-                let end = ClientEnd::Refused(RefusalReason::Quarantined, answer.finish_or_wait);
+                let end =
+                    RequestOutcome::Refused(RefusalReason::Quarantined, answer.finish_or_wait);
                 Step::End(self.earlier.take().unwrap_or(end))
             }
             (AttemptOutcome::Refused(reason), _) => {
@@ -107,12 +108,12 @@
     fn judge_response(&mut self, response: Response<Bytes>) -> Step {
         if matches!(
             self.earlier,
-            Some(ClientEnd::Unknown(UnknownCause::UpstreamCrashed))
+            Some(RequestOutcome::Unknown(UnknownCause::UpstreamCrashed))
         ) {
             clear_suspect(&self.core, self.call.digest);
         }
         let failed = response.status().is_server_error();
-        let end = ClientEnd::Answered(Box::new(response));
+        let end = RequestOutcome::Answered(Box::new(response));
         if failed && self.call.route.idempotent {
             self.earlier = Some(end);
             return Step::Repeat;
@@ -121,7 +122,7 @@
     }
 
     fn judge_unknown(&mut self, cause: UnknownCause) -> Step {
-        let end = ClientEnd::Unknown(cause);
+        let end = RequestOutcome::Unknown(cause);
         if !self.call.route.idempotent || cause == UnknownCause::DeadlinePassed {
             return Step::End(end);
         }
--- a/src/proxy/executing.rs
+++ b/src/proxy/executing.rs
@@ -1,11 +1,11 @@
 //! Runs requests at the upstream beside the node, within its slots.
 
-mod attempt_line;
+mod attempt_log_line;
 mod dispatch;
-mod pace;
-mod questions;
+mod probes;
 mod slots;
-mod warmth;
+mod slowdown;
+mod warmup;
 
 use crate::{
     coordination::slot_queue::{SlotDecision, SlotRequest},
@@ -15,28 +15,28 @@
     },
     proxy::{
         core::{ProxyCore, increment},
-        crashes::find_quarantine,
-        repeats::{has_call_budget, take_call_budget},
-        stop::accepts_work,
+        crash_detection::find_quarantine,
+        graceful_stop::accepts_work,
+        retry_budgets::{has_call_budget, take_call_budget},
     },
     state::{request_digest::RequestDigest, timestamp::Timestamp},
     transport::callers::CallerRequest,
 };
-use attempt_line::AttemptLine;
+use attempt_log_line::AttemptLogLine;
 use bytes::Bytes;
 use dispatch::dispatch;
 use http::Response;
-use pace::refresh_pace;
-pub use questions::{has_incarnation_ended, probe_instance, verify_incarnation};
+pub use probes::{has_incarnation_ended, probe_instance, verify_incarnation};
 use slots::{HeldSlot, wait_for_slot};
 pub use slots::{Slots, compute_slot_limit, refuse_queued_requests, set_slot_limit};
+use slowdown::refresh_pace;
 use std::{rc::Rc, time::Duration};
-pub use warmth::record_warmup_left;
-use warmth::refresh_warmup;
+pub use warmup::record_warmup_left;
+use warmup::refresh_warmup;
 
 /// How an attempt at this node's upstream ended.
 #[derive(Debug)]
-pub struct Executed {
+pub struct CompletedAttempt {
     /// What is told to the node that asked.
     pub answer: HopAnswer,
     /// The upstream's answer, if there is one.
@@ -45,9 +45,13 @@
 
 /// Runs a request at the upstream beside this node, or refuses it. Dropping the future takes it out
 /// of the queue, or closes its connection to the upstream.
-pub async fn execute(core: &Rc<ProxyCore>, hop: &HopRequest, req: CallerRequest) -> Executed {
+pub async fn execute(
+    core: &Rc<ProxyCore>,
+    hop: &HopRequest,
+    req: CallerRequest,
+) -> CompletedAttempt {
     let digest = req.digest();
-    let mut line = AttemptLine::begin(core, hop, &req, digest);
+    let mut line = AttemptLogLine::begin(core, hop, &req, digest);
     let executed = execute_logged(core, hop, req, digest, &mut line).await;
     line.end(&executed);
     executed
@@ -58,8 +62,8 @@
     hop: &HopRequest,
     req: CallerRequest,
     digest: RequestDigest,
-    line: &mut AttemptLine,
-) -> Executed {
+    line: &mut AttemptLogLine,
+) -> CompletedAttempt {
     let arrived = core.timers.now();
     if let Some((reason, finish)) = find_refusal(core, hop, digest) {
         return refuse(core, reason, finish);
@@ -105,7 +109,7 @@
     core.calls_per_execution
         .borrow_mut()
         .note_end(&hop.class, &started);
-    Executed {
+    CompletedAttempt {
         answer: describe(core, outcome, waited),
         response,
     }
@@ -158,8 +162,8 @@
     }
 }
 
-fn refuse(core: &ProxyCore, reason: RefusalReason, finish: Duration) -> Executed {
-    Executed {
+fn refuse(core: &ProxyCore, reason: RefusalReason, finish: Duration) -> CompletedAttempt {
+    CompletedAttempt {
         answer: describe(core, AttemptOutcome::Refused(reason), finish),
         response: None,
     }
--- a/src/proxy/executing/attempt_line.rs
+++ b/src/proxy/executing/attempt_log_line.rs
@@ -5,7 +5,7 @@
     proxy::{
         core::ProxyCore,
         events::{LoggedEnd, ProxyEvent, in_millis},
-        executing::Executed,
+        executing::CompletedAttempt,
     },
     state::{names::ClassName, request_digest::RequestDigest, timestamp::Timestamp},
     transport::callers::CallerRequest,
@@ -14,7 +14,7 @@
 
 /// Collects what decided about an attempt. One that is dropped before its end tells that the client, or
 /// the node that asked, went away.
-pub struct AttemptLine {
+pub struct AttemptLogLine {
     core: Rc<ProxyCore>,
     request: String,
     digest: RequestDigest,
@@ -30,7 +30,7 @@
     ended: bool,
 }
 
-impl AttemptLine {
+impl AttemptLogLine {
     pub fn begin(
         core: &Rc<ProxyCore>,
         hop: &HopRequest,
@@ -74,7 +74,7 @@
     }
 
     /// Writes the line.
-    pub fn end(mut self, executed: &Executed) {
+    pub fn end(mut self, executed: &CompletedAttempt) {
         let status = executed
             .response
             .as_ref()
@@ -109,7 +109,7 @@
     }
 }
 
-impl Drop for AttemptLine {
+impl Drop for AttemptLogLine {
     fn drop(&mut self) {
         if !self.ended {
             self.write(LoggedEnd::ClientLeft);
--- a/src/proxy/executing/dispatch.rs
+++ b/src/proxy/executing/dispatch.rs
@@ -9,9 +9,9 @@
     },
     proxy::{
         core::ProxyCore,
-        crashes::{AbortedRequest, detect_crash, note_answered_here},
+        crash_detection::{AbortedRequest, detect_crash, note_answered_here},
         events::ProxyEvent,
-        executing::pace::note_load,
+        executing::slowdown::note_load,
     },
     state::{ablation::Mechanism, request_digest::RequestDigest},
     transport::{
--- a/src/proxy/executing/questions.rs
+++ b/src/proxy/executing/probes.rs
@@ -3,7 +3,7 @@
 use crate::{
     proxy::{
         core::{ProxyCore, increment},
-        executing::warmth::record_warmup_header,
+        executing::warmup::record_warmup_header,
     },
     state::{names::ServiceName, placement_view::NodeRecord},
     transport::outgoing::{ConnectionReuse, SendError, SendOptions},
--- a/src/proxy/executing/slots.rs
+++ b/src/proxy/executing/slots.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     coordination::slot_queue::{SlotAction, SlotNumber, SlotQueue},
-    proxy::{core::ProxyCore, executing::pace::PaceKnowledge},
+    proxy::{core::ProxyCore, executing::slowdown::PaceKnowledge},
     state::{
         ablation::Mechanism, failure_share::FailureShare, names::ClassName,
         placement_view::NodeLoad, service_times::ServiceTimes, timestamp::Timestamp,
--- a/src/proxy/executing/pace.rs
+++ b/src/proxy/executing/slowdown.rs
@@ -8,7 +8,7 @@
     proxy::{
         core::ProxyCore,
         executing::{
-            questions::{find_health_uri, send_question},
+            probes::{find_health_uri, send_question},
             slots::apply,
         },
     },
--- a/src/proxy/executing/warmth.rs
+++ b/src/proxy/executing/warmup.rs
@@ -5,7 +5,7 @@
     proxy::{
         core::ProxyCore,
         events::{ProxyEvent, in_millis},
-        executing::pace::ask_for_pace,
+        executing::slowdown::ask_for_pace,
     },
     state::{names::ServiceName, routing_table::ColdService},
 };
--- a/src/proxy/following/nodes.rs
+++ b/src/proxy/following/nodes.rs
@@ -11,7 +11,7 @@
     proxy::{
         announcing::take_stored,
         core::ProxyCore,
-        crashes::{apply_stored_quarantine, propagate_quarantine_to_zone},
+        crash_detection::{apply_stored_quarantine, propagate_quarantine_to_zone},
         directory::StateSource,
         events::ProxyEvent,
         state_sharing::share_with_zone,
--- a/src/proxy/following/returning.rs
+++ b/src/proxy/following/returning.rs
@@ -9,7 +9,7 @@
     proxy::{
         announcing::{RecordOrder, describe_own, take_stored},
         core::ProxyCore,
-        crashes::write_lost_quarantines,
+        crash_detection::write_lost_quarantines,
         directory::StateSource,
         state_messages::spread,
     },
--- a/src/proxy/following/writing.rs
+++ b/src/proxy/following/writing.rs
@@ -6,7 +6,7 @@
     proxy::{
         announcing::RecordOrder,
         core::ProxyCore,
-        crashes::find_quarantine,
+        crash_detection::find_quarantine,
         store_calls::{CallReason, StoreCall},
     },
     state::placement_view::NodeRecord,
--- a/src/proxy/peers.rs
+++ b/src/proxy/peer_requests.rs
@@ -10,7 +10,7 @@
     },
     proxy::{
         core::ProxyCore,
-        executing::{Executed, execute},
+        executing::{CompletedAttempt, execute},
         state_sharing::answer_state,
         table_fetching::note_version_of,
     },
@@ -49,7 +49,7 @@
     to: SocketAddr,
     hop: &HopRequest,
     req: &CallerRequest,
-) -> Result<Executed, SendError> {
+) -> Result<CompletedAttempt, SendError> {
     let request = build_hop(hop, req).ok_or(SendError::NotSent)?;
     let rules = SendOptions {
         reuse: ConnectionReuse::for_request(hop.idempotent || Mechanism::FreshConnections.is_off()),
@@ -67,7 +67,7 @@
         .ok_or(SendError::BadAnswer)?;
     note_version_of(core, to, answer.version);
     let response = (answer.outcome == AttemptOutcome::Answered).then_some(response);
-    Ok(Executed { answer, response })
+    Ok(CompletedAttempt { answer, response })
 }
 
 fn build_hop(hop: &HopRequest, req: &CallerRequest) -> Option<Request<Full<Bytes>>> {
--- a/src/proxy/start.rs
+++ b/src/proxy/start.rs
@@ -2,8 +2,8 @@
 
 use crate::{
     proxy::{
-        core::ProxyCore, entry::ClientHandler, events::ProxyEvent, peers::PeerHandler,
-        stop::stop_gracefully,
+        core::ProxyCore, entry::ClientHandler, events::ProxyEvent, graceful_stop::stop_gracefully,
+        peer_requests::PeerHandler,
     },
     transport::callers::{CallerLimits, serve_callers},
 };
--- a/src/proxy/state_sharing.rs
+++ b/src/proxy/state_sharing.rs
@@ -5,7 +5,7 @@
     protocol::hop::StateMessage,
     proxy::{
         core::ProxyCore,
-        crashes::apply_finding,
+        crash_detection::apply_finding,
         directory::StateSource,
         evacuating::take_told_evacuations,
         events::ProxyEvent,
