--- a/src/coordination/local_upstream.rs
+++ b/src/coordination/local_upstream.rs
@@ -3,7 +3,7 @@
 //! The node is the only way to its upstream, so what is decided here binds: once a leaving is taken
 //! in, no request reaches that run of the upstream any more, whatever other nodes believe.
 
-use crate::state::{names::ServiceName, run_identity::RunIdentity};
+use crate::state::{incarnation_id::IncarnationId, names::ServiceName};
 use std::{collections::VecDeque, time::Duration};
 
 /// Runs that are remembered after they have ended. A late announcement of one of them must not bring
@@ -14,7 +14,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Announcement {
     /// The upstream's run.
-    pub run: RunIdentity,
+    pub run: IncarnationId,
     /// Its service.
     pub service: ServiceName,
     /// Requests it runs at once.
@@ -31,7 +31,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UpstreamIncarnation {
     /// What tells it from other runs.
-    pub identity: RunIdentity,
+    pub identity: IncarnationId,
     /// Its service.
     pub service: ServiceName,
     /// Requests it runs at once.
@@ -56,7 +56,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct LocalUpstream {
     current: Option<UpstreamIncarnation>,
-    ended: VecDeque<RunIdentity>,
+    ended: VecDeque<IncarnationId>,
 }
 
 impl LocalUpstream {
@@ -85,7 +85,9 @@
             sequence: announcement.sequence,
         };
         match &mut self.current {
-            Some(known) if known.identity.covers(&run.identity) => update_run(known, run),
+            Some(known) if known.identity.is_same_or_newer_than(&run.identity) => {
+                update_run(known, run)
+            }
             _ => {
                 self.end_current();
                 self.current = Some(run);
@@ -95,13 +97,13 @@
     }
 
     /// Records that a run leaves for good. True if it was not known.
-    pub fn record_departure(&mut self, told: &RunIdentity) -> bool {
+    pub fn record_departure(&mut self, told: &IncarnationId) -> bool {
         match &mut self.current {
             Some(known) if known.identity == *told || is_untold(&known.identity, told) => {
                 !std::mem::replace(&mut known.leaving, true)
             }
             // A late word of a run before the present one.
-            Some(known) if known.identity.covers(told) => false,
+            Some(known) if known.identity.is_same_or_newer_than(told) => false,
             _ => {
                 let known = self.has_ended(told);
                 if !known {
@@ -112,8 +114,10 @@
         }
     }
 
-    fn has_ended(&self, told: &RunIdentity) -> bool {
-        self.ended.iter().any(|ended| ended.covers(told))
+    fn has_ended(&self, told: &IncarnationId) -> bool {
+        self.ended
+            .iter()
+            .any(|ended| ended.is_same_or_newer_than(told))
     }
 
     /// Another run answered in place of `instance`: its announcements count no longer.
@@ -133,7 +137,7 @@
         }
     }
 
-    fn remember(&mut self, run: RunIdentity) {
+    fn remember(&mut self, run: IncarnationId) {
         self.ended.push_back(run);
         if self.ended.len() > MAX_ENDED_INCARNATIONS {
             self.ended.pop_front();
@@ -142,14 +146,14 @@
 }
 
 /// Whether the word is of the same identity and one of the two does not tell when its run started.
-fn is_untold(known: &RunIdentity, told: &RunIdentity) -> bool {
-    known.instance == told.instance && (known.born.is_none() || told.born.is_none())
+fn is_untold(known: &IncarnationId, told: &IncarnationId) -> bool {
+    known.instance == told.instance && (known.started_ms.is_none() || told.started_ms.is_none())
 }
 
 /// A run that leaves never comes back to work under the same identity: a late announcement from
 /// before it left would have its node send it work again.
 fn update_run(known: &mut UpstreamIncarnation, run: UpstreamIncarnation) -> AnnouncementEffect {
-    let earlier = !run.identity.covers(&known.identity);
+    let earlier = !run.identity.is_same_or_newer_than(&known.identity);
     if earlier || run.sequence <= known.sequence {
         return AnnouncementEffect::Stale;
     }
@@ -157,8 +161,8 @@
     let changed = leaving != known.leaving || run.slots != known.slots;
     *known = UpstreamIncarnation {
         leaving,
-        identity: RunIdentity {
-            born: run.identity.born.or(known.identity.born),
+        identity: IncarnationId {
+            started_ms: run.identity.started_ms.or(known.identity.started_ms),
             instance: run.identity.instance,
         },
         ..run
--- a/src/local_mesh/node.rs
+++ b/src/local_mesh/node.rs
@@ -12,7 +12,7 @@
         ProxyListeners, announcing::take_announcement, core::ProxyCore, follow_store,
         operating::answer_operators, run_proxy,
     },
-    state::{names::NodeName, run_identity::RunIdentity},
+    state::{incarnation_id::IncarnationId, names::NodeName},
     timers::TimerService,
     transport::operators::server::{OperatorServer, serve_operators},
 };
@@ -242,9 +242,9 @@
         requests,
     ));
     let announcement = Announcement {
-        run: RunIdentity {
+        run: IncarnationId {
             instance: plan.name.to_string(),
-            born: None,
+            started_ms: None,
         },
         service: plan.service.clone(),
         slots: plan.slots,
--- a/src/protocol/hop.rs
+++ b/src/protocol/hop.rs
@@ -8,10 +8,10 @@
     state::{
         configuration::ConfigurationVersion,
         evacuations::Evacuations,
+        incarnation_id::IncarnationId,
         names::{ClassName, ServiceName},
         placement_view::{NodeLoad, StoredRecord},
         request_digest::RequestDigest,
-        run_identity::RunIdentity,
         table_change::TableChange,
     },
 };
@@ -217,7 +217,7 @@
         fingerprint: RequestDigest,
         /// The run that crashed.
         #[serde(rename = "run")]
-        incarnation: RunIdentity,
+        incarnation: IncarnationId,
     },
     /// The request is what crashes the upstreams.
     Quarantined(RequestDigest),
--- a/src/proxy/announcing.rs
+++ b/src/proxy/announcing.rs
@@ -10,7 +10,7 @@
             verify_incarnation,
         },
     },
-    state::{placement_view::NodeRecord, run_identity::RunIdentity},
+    state::{incarnation_id::IncarnationId, placement_view::NodeRecord},
 };
 use flume::Sender;
 use std::{rc::Rc, time::Duration};
@@ -81,7 +81,7 @@
 
 /// The present run of the upstream beside this node.
 #[must_use]
-pub fn identify_own(core: &ProxyCore) -> Option<RunIdentity> {
+pub fn identify_own(core: &ProxyCore) -> Option<IncarnationId> {
     core.local_upstream
         .borrow()
         .current()
@@ -89,7 +89,11 @@
 }
 
 /// Takes in that a run of the upstream leaves; returns once it may be acknowledged.
-pub async fn take_departure(core: &Rc<ProxyCore>, run: &RunIdentity, store: &Sender<RecordOrder>) {
+pub async fn take_departure(
+    core: &Rc<ProxyCore>,
+    run: &IncarnationId,
+    store: &Sender<RecordOrder>,
+) {
     let news = core.local_upstream.borrow_mut().record_departure(run);
     if news {
         core.log(&ProxyEvent::UpstreamDeparted {
--- a/src/proxy/crash_detection.rs
+++ b/src/proxy/crash_detection.rs
@@ -15,10 +15,10 @@
     state::{
         ablation::Mechanism,
         crash_suspects::CRASHES_TO_QUARANTINE,
+        incarnation_id::IncarnationId,
         names::ServiceName,
         quarantine::{QUARANTINE, QuarantineSource},
         request_digest::RequestDigest,
-        run_identity::RunIdentity,
     },
 };
 use rand::seq::SliceRandom;
@@ -38,7 +38,7 @@
     /// What it asks for.
     pub digest: RequestDigest,
     /// The run of the upstream.
-    pub run: RunIdentity,
+    pub run: IncarnationId,
     /// Its service.
     pub service: ServiceName,
 }
@@ -63,7 +63,7 @@
 }
 
 /// A draining upstream ends as planned, which is no crash.
-fn leaves(core: &ProxyCore, run: &RunIdentity) -> bool {
+fn leaves(core: &ProxyCore, run: &IncarnationId) -> bool {
     let own = core.local_upstream.borrow();
     let current = own.current();
     current.is_some_and(|current| current.identity == *run && current.leaving)
@@ -98,7 +98,7 @@
 }
 
 /// Records a response from the local upstream.
-pub fn note_answered_here(core: &Rc<ProxyCore>, digest: RequestDigest, run: &RunIdentity) {
+pub fn note_answered_here(core: &Rc<ProxyCore>, digest: RequestDigest, run: &IncarnationId) {
     core.answered_requests.borrow_mut().note(run, digest);
     if find_quarantine(core, digest).is_some() {
         let finding = CrashFinding::Answered(digest);
@@ -177,7 +177,7 @@
     news
 }
 
-fn count_crash(core: &Rc<ProxyCore>, digest: RequestDigest, run: &RunIdentity) {
+fn count_crash(core: &Rc<ProxyCore>, digest: RequestDigest, run: &IncarnationId) {
     let now = core.timers.now();
     let mut suspects = core.crash_suspects.borrow_mut();
     let crashes = suspects.note_crash(digest, run.clone(), now);
--- a/src/state/crash_suspects.rs
+++ b/src/state/crash_suspects.rs
@@ -5,7 +5,7 @@
 //! isn't there the next time.
 
 use crate::state::{
-    request_digest::RequestDigest, run_identity::RunIdentity, timestamp::Timestamp,
+    incarnation_id::IncarnationId, request_digest::RequestDigest, timestamp::Timestamp,
 };
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -23,7 +23,7 @@
 #[derive(Clone, Debug, Default)]
 struct Suspect {
     /// Each run once, however often and by whomever its crash is told.
-    runs: BTreeSet<RunIdentity>,
+    runs: BTreeSet<IncarnationId>,
     last: Timestamp,
 }
 
@@ -35,7 +35,12 @@
 
 impl CrashSuspects {
     /// Takes in that a run crashed while it ran a request; returns the crashed runs of that request so far.
-    pub fn note_crash(&mut self, digest: RequestDigest, run: RunIdentity, now: Timestamp) -> usize {
+    pub fn note_crash(
+        &mut self,
+        digest: RequestDigest,
+        run: IncarnationId,
+        now: Timestamp,
+    ) -> usize {
         self.suspects
             .retain(|_, suspect| now.since(suspect.last) <= REMEMBERED);
         let suspect = self.suspects.entry(digest).or_default();
--- a/src/state/placement_view.rs
+++ b/src/state/placement_view.rs
@@ -2,8 +2,8 @@
 
 use crate::state::{
     ablation::Mechanism,
+    incarnation_id::IncarnationId,
     names::{AvailabilityZoneName, ClassName, NodeName, ServiceName},
-    run_identity::RunIdentity,
     timestamp::Timestamp,
 };
 use serde::{Deserialize, Serialize};
@@ -31,7 +31,7 @@
     pub availability_zone: AvailabilityZoneName,
     /// The upstream's run.
     #[serde(flatten)]
-    pub run: RunIdentity,
+    pub run: IncarnationId,
     /// Requests that the upstream runs at once.
     pub slots: u16,
     /// The upstream has said that it leaves.
--- a/tests/integration/crash_counting.rs
+++ b/tests/integration/crash_counting.rs
@@ -10,9 +10,9 @@
     state::{
         answered_requests::AnsweredRequests,
         crash_suspects::{CRASHES_TO_QUARANTINE, CrashSuspects},
+        incarnation_id::IncarnationId,
         quarantine::{QUARANTINE, Quarantine, QuarantineSource},
         request_digest::RequestDigest,
-        run_identity::RunIdentity,
         timestamp::Timestamp,
     },
 };
@@ -22,10 +22,10 @@
     RequestDigest::of("GET", "shop.example", &format!("/look/{number}"), b"")
 }
 
-fn run(number: u8) -> RunIdentity {
-    RunIdentity {
+fn run(number: u8) -> IncarnationId {
+    IncarnationId {
         instance: format!("i-{number}"),
-        born: Some(1_000 + u64::from(number)),
+        started_ms: Some(1_000 + u64::from(number)),
     }
 }
 
--- a/tests/integration/mesh_model.rs
+++ b/tests/integration/mesh_model.rs
@@ -10,8 +10,8 @@
     proxy::directory::Directory,
     state::{
         configuration::ConfigurationVersion,
+        incarnation_id::IncarnationId,
         routing_table::{ClientLimits, RoutingTable},
-        run_identity::RunIdentity,
     },
 };
 use pathfinding::prelude::bfs;
@@ -117,7 +117,7 @@
         let serving = own.serving()?;
         let first = match self.naming {
             Naming::Apart => serving.identity.instance == "1",
-            Naming::Again => serving.identity.born != Some(2),
+            Naming::Again => serving.identity.started_ms != Some(2),
         };
         Some(if first { 1 } else { 2 })
     }
@@ -128,9 +128,9 @@
             Naming::Again => "1".to_owned(),
         };
         Announcement {
-            run: RunIdentity {
+            run: IncarnationId {
                 instance,
-                born: (without != Without::Born).then_some(u64::from(run)),
+                started_ms: (without != Without::Born).then_some(u64::from(run)),
             },
             service: "desk".into(),
             slots: 6,
--- a/tests/integration/proxy_decisions.rs
+++ b/tests/integration/proxy_decisions.rs
@@ -16,19 +16,19 @@
     },
     state::{
         configuration::ConfigurationVersion,
+        incarnation_id::IncarnationId,
         placement_view::{NodeLoad, NodeRecord, NodeView, StoredRecord},
         rate_limit::RateLimit,
         routing_table::{ClientLimits, Route, RouteIndex, RoutingTable, WeightedService},
-        run_identity::RunIdentity,
         timestamp::Timestamp,
     },
 };
 use std::{net::SocketAddr, rc::Rc, time::Duration};
 
-fn run(instance: &str, born: Option<u64>) -> RunIdentity {
-    RunIdentity {
+fn run(instance: &str, born: Option<u64>) -> IncarnationId {
+    IncarnationId {
         instance: instance.to_owned(),
-        born,
+        started_ms: born,
     }
 }
 
@@ -223,7 +223,10 @@
     assert!(own.serving().is_none());
     let again = own.apply_announcement(announcement_of(2_000, 1, false));
     assert_eq!(again, AnnouncementEffect::Changed);
-    assert_eq!(own.serving().and_then(|run| run.identity.born), Some(2_000));
+    assert_eq!(
+        own.serving().and_then(|run| run.identity.started_ms),
+        Some(2_000)
+    );
 }
 
 /// Symptom: an upstream that has left gets work. Sequence: it has started again under its identity; words of its former run
@@ -236,7 +239,10 @@
     let late = own.apply_announcement(announcement_of(1_000, 8, true));
     assert_eq!(late, AnnouncementEffect::Stale);
     assert!(!own.record_departure(&run("i-1", Some(1_000))));
-    assert_eq!(own.serving().and_then(|run| run.identity.born), Some(2_000));
+    assert_eq!(
+        own.serving().and_then(|run| run.identity.started_ms),
+        Some(2_000)
+    );
     assert!(own.record_departure(&run("i-1", Some(2_000))));
     assert!(own.serving().is_none());
 }
--- a/tests/integration/retiring.rs
+++ b/tests/integration/retiring.rs
@@ -5,8 +5,8 @@
     coordination::retiring::{RetirementWatch, Testimony, WatchedRecord, weigh_testimony},
     proxy::directory::{Directory, StateSource},
     state::{
+        incarnation_id::IncarnationId,
         placement_view::{NodeRecord, StoredRecord},
-        run_identity::RunIdentity,
         timestamp::Timestamp,
     },
 };
@@ -34,9 +34,9 @@
         address: address(number),
         service: "desk".into(),
         availability_zone: "a".into(),
-        run: RunIdentity {
+        run: IncarnationId {
             instance: format!("i{number}"),
-            born: None,
+            started_ms: None,
         },
         slots: 6,
         leaving: false,
--- a/tests/integration/retiring_model.rs
+++ b/tests/integration/retiring_model.rs
@@ -7,8 +7,8 @@
 use camphorturn::{
     proxy::directory::{Directory, StateSource},
     state::{
+        incarnation_id::IncarnationId,
         placement_view::{NodeRecord, StoredRecord},
-        run_identity::RunIdentity,
     },
 };
 use pathfinding::prelude::{bfs, bfs_reach};
@@ -206,9 +206,9 @@
                 address: ([10, 0, 0, 1], 7_000).into(),
                 service: "desk".into(),
                 availability_zone: "a".into(),
-                run: RunIdentity {
+                run: IncarnationId {
                     instance: run.to_string(),
-                    born: None,
+                    started_ms: None,
                 },
                 slots: 6,
                 leaving: false,
--- a/tests/integration/store_copy.rs
+++ b/tests/integration/store_copy.rs
@@ -3,10 +3,10 @@
 use camphorturn::{
     proxy::directory::{Directory, StateSource},
     state::{
+        incarnation_id::IncarnationId,
         placement_view::{NodeRecord, StoredRecord},
         quarantine::{Quarantine, QuarantineSource},
         request_digest::RequestDigest,
-        run_identity::RunIdentity,
         store_position::StorePosition,
         timestamp::Timestamp,
     },
@@ -27,9 +27,9 @@
             address: address(number),
             service: "desk".into(),
             availability_zone: "a".into(),
-            run: RunIdentity {
+            run: IncarnationId {
                 instance: instance.into(),
-                born: None,
+                started_ms: None,
             },
             slots: 6,
             leaving: false,
