--- a/src/coordination/crash_counters.rs
+++ b/src/coordination/crash_counters.rs
@@ -4,7 +4,7 @@
 //! crashes everywhere would have every node tell every other one again and again. Instead a few nodes, picked by the request
 //! (rendezvous hashing), are told of all crashes under it, and only what they find out goes to all.
 
-use crate::state::request_digest::RequestDigest;
+use crate::state::request_fingerprint::RequestFingerprint;
 use std::{
     hash::{Hash, Hasher},
     net::SocketAddr,
@@ -19,7 +19,7 @@
 /// node more or less moves no other one.
 #[must_use]
 pub fn order_crash_counters(
-    digest: RequestDigest,
+    digest: RequestFingerprint,
     nodes: impl Iterator<Item = SocketAddr>,
 ) -> Vec<SocketAddr> {
     let mut nodes: Vec<SocketAddr> = nodes.collect();
--- a/src/local_mesh/store.rs
+++ b/src/local_mesh/store.rs
@@ -7,7 +7,7 @@
     },
     state::{
         names::AvailabilityZoneName, placement_view::NodeRecord, published::PublishedRecord,
-        request_digest::RequestDigest, routing_table::RoutingTable,
+        request_fingerprint::RequestFingerprint, routing_table::RoutingTable,
     },
 };
 use bytes::Bytes;
@@ -177,7 +177,7 @@
 
     async fn append_quarantine(
         &self,
-        digest: RequestDigest,
+        digest: RequestFingerprint,
         is_quarantined: bool,
     ) -> Result<(), StoreError> {
         let condition = self.check()?;
--- a/src/protocol/hop.rs
+++ b/src/protocol/hop.rs
@@ -11,7 +11,7 @@
         incarnation_id::IncarnationId,
         names::{ClassName, ServiceName},
         placement_view::{NodeLoad, StoredRecord},
-        request_digest::RequestDigest,
+        request_fingerprint::RequestFingerprint,
         table_change::TableChange,
     },
 };
@@ -214,15 +214,15 @@
     Crashed {
         /// What the request asks for.
         #[serde(rename = "digest")]
-        fingerprint: RequestDigest,
+        fingerprint: RequestFingerprint,
         /// The run that crashed.
         #[serde(rename = "run")]
         incarnation: IncarnationId,
     },
     /// The request is what crashes the upstreams.
-    Quarantined(RequestDigest),
+    Quarantined(RequestFingerprint),
     /// The request was at a crash, and an upstream has answered it since.
-    Answered(RequestDigest),
+    Answered(RequestFingerprint),
 }
 
 /// A table that the store holds.
--- a/src/protocol/store.rs
+++ b/src/protocol/store.rs
@@ -4,8 +4,8 @@
 //! be away, slow, or take an append and lose the answer to it.
 
 use crate::state::{
-    names::AvailabilityZoneName, placement_view::NodeRecord, request_digest::RequestDigest,
-    routing_table::RoutingTable,
+    names::AvailabilityZoneName, placement_view::NodeRecord,
+    request_fingerprint::RequestFingerprint, routing_table::RoutingTable,
 };
 use bytes::Bytes;
 use std::{future::Future, time::Duration};
@@ -67,7 +67,7 @@
 ///
 /// It has a key of its own: a node that starts writes its own record anew, maybe before it has read the former one.
 #[must_use]
-pub fn quarantine_key(digest: RequestDigest) -> String {
+pub fn quarantine_key(digest: RequestFingerprint) -> String {
     format!("{QUARANTINE_KEY}{digest}")
 }
 
@@ -76,7 +76,7 @@
 
 /// The request in quarantine that a key among the nodes is about, if it is about one.
 #[must_use]
-pub fn parse_quarantine_key(key: &str) -> Option<RequestDigest> {
+pub fn parse_quarantine_key(key: &str) -> Option<RequestFingerprint> {
     key.strip_prefix(QUARANTINE_KEY)?.parse().ok()
 }
 
@@ -109,7 +109,7 @@
     /// Appends that a request is in quarantine, or drops that, under [`quarantine_key`].
     fn append_quarantine(
         &self,
-        digest: RequestDigest,
+        digest: RequestFingerprint,
         is_quarantined: bool,
     ) -> impl Future<Output = Result<(), StoreError>>;
 
--- a/src/proxy/core.rs
+++ b/src/proxy/core.rs
@@ -25,7 +25,7 @@
         names::{ClassName, ServiceName},
         placement_view::{NodeRecord, StoredRecord},
         quarantine::Quarantine,
-        request_digest::RequestDigest,
+        request_fingerprint::RequestFingerprint,
         routing_table::{RouteIndex, RoutingTable},
         timestamp::Timestamp,
     },
@@ -109,7 +109,7 @@
     /// What the upstream beside the node has answered.
     pub answered_requests: RefCell<AnsweredRequests>,
     /// Requests whose quarantine is to be written to the store as it is then, and who writes it.
-    pub quarantine_writes: (Sender<RequestDigest>, Receiver<RequestDigest>),
+    pub quarantine_writes: (Sender<RequestFingerprint>, Receiver<RequestFingerprint>),
     /// Requests picked a service by weight so far; spreads them evenly.
     pub service_picks: Cell<u32>,
 }
--- a/src/proxy/crash_detection.rs
+++ b/src/proxy/crash_detection.rs
@@ -18,7 +18,7 @@
         incarnation_id::IncarnationId,
         names::ServiceName,
         quarantine::{QUARANTINE, QuarantineSource},
-        request_digest::RequestDigest,
+        request_fingerprint::RequestFingerprint,
     },
 };
 use rand::seq::SliceRandom;
@@ -36,7 +36,7 @@
     /// Its identity, for the log.
     pub request: String,
     /// What it asks for.
-    pub digest: RequestDigest,
+    pub digest: RequestFingerprint,
     /// The run of the upstream.
     pub run: IncarnationId,
     /// Its service.
@@ -98,7 +98,7 @@
 }
 
 /// Records a response from the local upstream.
-pub fn note_answered_here(core: &Rc<ProxyCore>, digest: RequestDigest, run: &IncarnationId) {
+pub fn note_answered_here(core: &Rc<ProxyCore>, digest: RequestFingerprint, run: &IncarnationId) {
     core.answered_requests.borrow_mut().note(run, digest);
     if find_quarantine(core, digest).is_some() {
         let finding = CrashFinding::Answered(digest);
@@ -108,13 +108,13 @@
 }
 
 /// Clears the suspicion against a request that was answered after another upstream had crashed while running it.
-pub fn clear_suspect(core: &Rc<ProxyCore>, digest: RequestDigest) {
+pub fn clear_suspect(core: &Rc<ProxyCore>, digest: RequestFingerprint) {
     tell_keepers(core, digest, CrashFinding::Answered(digest));
 }
 
 /// The remaining quarantine time of a request; none if it is not in quarantine.
 #[must_use]
-pub fn find_quarantine(core: &ProxyCore, digest: RequestDigest) -> Option<Duration> {
+pub fn find_quarantine(core: &ProxyCore, digest: RequestFingerprint) -> Option<Duration> {
     core.quarantine
         .borrow()
         .time_left(digest, core.timers.now())
@@ -135,13 +135,13 @@
 }
 
 /// Applies a quarantine read from the store; true if it was not known.
-pub fn apply_stored_quarantine(core: &Rc<ProxyCore>, digest: RequestDigest) -> bool {
+pub fn apply_stored_quarantine(core: &Rc<ProxyCore>, digest: RequestFingerprint) -> bool {
     put_in_quarantine(core, digest, QuarantineSource::Told)
 }
 
 /// Writes again the quarantines that the store lost when it came back from a copy, and drops those that it has again though they were
 /// lifted. One node of the mesh does.
-pub fn write_lost_quarantines(core: &ProxyCore, stored: &BTreeSet<RequestDigest>) {
+pub fn write_lost_quarantines(core: &ProxyCore, stored: &BTreeSet<RequestFingerprint>) {
     if !core.is_mesh_coordinator() {
         return;
     }
@@ -152,7 +152,7 @@
 }
 
 /// Propagates a quarantine to the zone, for nodes that were partitioned when it began.
-pub fn propagate_quarantine_to_zone(core: &Rc<ProxyCore>, digest: RequestDigest) {
+pub fn propagate_quarantine_to_zone(core: &Rc<ProxyCore>, digest: RequestFingerprint) {
     tell(
         core,
         &core.list_zone_nodes(),
@@ -162,7 +162,7 @@
 
 fn put_in_quarantine(
     core: &Rc<ProxyCore>,
-    digest: RequestDigest,
+    digest: RequestFingerprint,
     source: QuarantineSource,
 ) -> bool {
     let now = core.timers.now();
@@ -177,7 +177,7 @@
     news
 }
 
-fn count_crash(core: &Rc<ProxyCore>, digest: RequestDigest, run: &IncarnationId) {
+fn count_crash(core: &Rc<ProxyCore>, digest: RequestFingerprint, run: &IncarnationId) {
     let now = core.timers.now();
     let mut suspects = core.crash_suspects.borrow_mut();
     let crashes = suspects.note_crash(digest, run.clone(), now);
@@ -208,7 +208,7 @@
 }
 
 /// Drops an expired quarantine from the store. Otherwise a node that starts later would begin it anew.
-fn drop_when_over(core: &Rc<ProxyCore>, digest: RequestDigest) {
+fn drop_when_over(core: &Rc<ProxyCore>, digest: RequestFingerprint) {
     let core = Rc::clone(core);
     spawn_local(async move {
         let _ = core.timers.after(QUARANTINE).recv_async().await;
@@ -219,12 +219,12 @@
 }
 
 /// Schedules a write of the present quarantine state of a request to the store.
-fn write(core: &ProxyCore, digest: RequestDigest) {
+fn write(core: &ProxyCore, digest: RequestFingerprint) {
     // The receiver lives as long as the sender.
     let _ = core.quarantine_writes.0.send(digest);
 }
 
-fn take_answered(core: &ProxyCore, digest: RequestDigest) {
+fn take_answered(core: &ProxyCore, digest: RequestFingerprint) {
     core.crash_suspects.borrow_mut().note_answered(digest);
     let now = core.timers.now();
     let lifted = core.quarantine.borrow_mut().lift(digest, now);
@@ -237,7 +237,7 @@
     }
 }
 
-fn tell_keepers(core: &Rc<ProxyCore>, digest: RequestDigest, finding: CrashFinding) {
+fn tell_keepers(core: &Rc<ProxyCore>, digest: RequestFingerprint, finding: CrashFinding) {
     let mut order = order_crash_counters(digest, list_nodes(core).into_iter());
     order.truncate(MAX_TRIED);
     let rest = Rc::new(RefCell::new(order.into_iter()));
--- a/src/proxy/entry.rs
+++ b/src/proxy/entry.rs
@@ -20,7 +20,7 @@
     },
     state::{
         names::{ClassName, ServiceName},
-        request_digest::RequestDigest,
+        request_fingerprint::RequestFingerprint,
         routing_table::Route,
         timestamp::Timestamp,
     },
@@ -156,7 +156,7 @@
 async fn carry_request(
     core: &Rc<ProxyCore>,
     req: CallerRequest,
-    digest: RequestDigest,
+    digest: RequestFingerprint,
     line: &mut RequestLogLine,
 ) -> RequestOutcome {
     let arrived = core.timers.now();
--- a/src/proxy/entry/request_log_line.rs
+++ b/src/proxy/entry/request_log_line.rs
@@ -9,7 +9,7 @@
     },
     state::{
         names::{ClassName, ServiceName},
-        request_digest::RequestDigest,
+        request_fingerprint::RequestFingerprint,
         routing_table::Route,
         timestamp::Timestamp,
     },
@@ -22,7 +22,7 @@
 pub struct RequestLogLine {
     core: Rc<ProxyCore>,
     request: String,
-    digest: RequestDigest,
+    digest: RequestFingerprint,
     arrived: Timestamp,
     version: u64,
     service: Option<ServiceName>,
@@ -34,7 +34,7 @@
 }
 
 impl RequestLogLine {
-    pub fn begin(core: &Rc<ProxyCore>, req: &CallerRequest, digest: RequestDigest) -> Self {
+    pub fn begin(core: &Rc<ProxyCore>, req: &CallerRequest, digest: RequestFingerprint) -> Self {
         Self {
             request: core.read_request_id(&req.headers),
             digest,
--- a/src/proxy/entry/request_router.rs
+++ b/src/proxy/entry/request_router.rs
@@ -25,7 +25,7 @@
     state::{
         ablation::Mechanism,
         names::{ClassName, ServiceName},
-        request_digest::RequestDigest,
+        request_fingerprint::RequestFingerprint,
         routing_table::Route,
         timestamp::Timestamp,
     },
@@ -44,7 +44,7 @@
     /// The request.
     pub req: CallerRequest,
     /// What it asks for.
-    pub digest: RequestDigest,
+    pub digest: RequestFingerprint,
     /// Its route.
     pub route: Rc<Route>,
     /// The service picked for it.
--- a/src/proxy/events.rs
+++ b/src/proxy/events.rs
@@ -12,7 +12,7 @@
     protocol::outcome::{RefusalReason, UnknownCause},
     state::{
         names::{AvailabilityZoneName, ClassName, NodeName, ServiceName},
-        request_digest::RequestDigest,
+        request_fingerprint::RequestFingerprint,
     },
 };
 use serde::Serialize;
@@ -64,7 +64,7 @@
         /// Identity that the client gave it.
         request: String,
         /// The same for every attempt at what it asks for.
-        digest: RequestDigest,
+        digest: RequestFingerprint,
         /// Its service.
         service: Option<ServiceName>,
         /// Its class of work.
@@ -114,7 +114,7 @@
         /// Identity of the request.
         request: String,
         /// The same for every attempt at what it asks for.
-        digest: RequestDigest,
+        digest: RequestFingerprint,
         /// The node that asked.
         from: SocketAddr,
         /// Its class of work.
@@ -185,14 +185,14 @@
         /// Identity of the request.
         request: String,
         /// What it asks for.
-        digest: RequestDigest,
+        digest: RequestFingerprint,
         /// The same run had answered such a request before, so that this one is no suspect.
         answered_before: bool,
     },
     /// A crash was told to this node, which counts those under that request.
     CrashCounted {
         /// What the request asks for.
-        digest: RequestDigest,
+        digest: RequestFingerprint,
         /// The run that crashed.
         instance: String,
         /// Crashed runs so far.
@@ -201,14 +201,14 @@
     /// A request is kept from upstreams from now on.
     RequestQuarantined {
         /// What it asks for.
-        digest: RequestDigest,
+        digest: RequestFingerprint,
         /// Who found out.
         source: &'static str,
     },
     /// A request is let to upstreams again, since one has answered it.
     QuarantineLifted {
         /// What it asks for.
-        digest: RequestDigest,
+        digest: RequestFingerprint,
     },
     /// After a restart the upstream is known from the store.
     UpstreamRecalled {
--- a/src/proxy/executing.rs
+++ b/src/proxy/executing.rs
@@ -19,7 +19,7 @@
         graceful_stop::accepts_work,
         retry_budgets::{has_call_budget, take_call_budget},
     },
-    state::{request_digest::RequestDigest, timestamp::Timestamp},
+    state::{request_fingerprint::RequestFingerprint, timestamp::Timestamp},
     transport::callers::CallerRequest,
 };
 use attempt_log_line::AttemptLogLine;
@@ -61,7 +61,7 @@
     core: &Rc<ProxyCore>,
     hop: &HopRequest,
     req: CallerRequest,
-    digest: RequestDigest,
+    digest: RequestFingerprint,
     line: &mut AttemptLogLine,
 ) -> CompletedAttempt {
     let arrived = core.timers.now();
@@ -132,7 +132,7 @@
 fn find_refusal(
     core: &ProxyCore,
     hop: &HopRequest,
-    digest: RequestDigest,
+    digest: RequestFingerprint,
 ) -> Option<(RefusalReason, Duration)> {
     // Its clients ask again, each time under another identity and at other nodes. Without what is known of the earlier crashes
     // each of these attempts ends one more upstream, with all that it runs.
--- a/src/proxy/executing/attempt_log_line.rs
+++ b/src/proxy/executing/attempt_log_line.rs
@@ -7,7 +7,7 @@
         events::{LoggedEnd, ProxyEvent, in_millis},
         executing::CompletedAttempt,
     },
-    state::{names::ClassName, request_digest::RequestDigest, timestamp::Timestamp},
+    state::{names::ClassName, request_fingerprint::RequestFingerprint, timestamp::Timestamp},
     transport::callers::CallerRequest,
 };
 use std::{net::SocketAddr, rc::Rc, time::Duration};
@@ -17,7 +17,7 @@
 pub struct AttemptLogLine {
     core: Rc<ProxyCore>,
     request: String,
-    digest: RequestDigest,
+    digest: RequestFingerprint,
     from: SocketAddr,
     class: ClassName,
     arrived: Timestamp,
@@ -35,7 +35,7 @@
         core: &Rc<ProxyCore>,
         hop: &HopRequest,
         req: &CallerRequest,
-        digest: RequestDigest,
+        digest: RequestFingerprint,
     ) -> Self {
         let load = core.slots.load();
         Self {
--- a/src/proxy/executing/dispatch.rs
+++ b/src/proxy/executing/dispatch.rs
@@ -13,7 +13,7 @@
         events::ProxyEvent,
         executing::slowdown::note_load,
     },
-    state::{ablation::Mechanism, request_digest::RequestDigest},
+    state::{ablation::Mechanism, request_fingerprint::RequestFingerprint},
     transport::{
         callers::CallerRequest,
         outgoing::{ConnectionReuse, SendError, SendOptions},
@@ -43,7 +43,7 @@
     core: &Rc<ProxyCore>,
     hop: &HopRequest,
     req: CallerRequest,
-    digest: RequestDigest,
+    digest: RequestFingerprint,
     time_left: Duration,
 ) -> (AttemptOutcome, Option<Response<Bytes>>) {
     let Some(run) = core
--- a/src/proxy/following/nodes.rs
+++ b/src/proxy/following/nodes.rs
@@ -18,7 +18,7 @@
     },
     state::{
         placement_view::{NodeRecord, StoredRecord},
-        request_digest::RequestDigest,
+        request_fingerprint::RequestFingerprint,
     },
 };
 use std::collections::HashSet;
@@ -89,7 +89,7 @@
     }
 
     /// At a start all nodes read the same, so only what comes later is told to the zone.
-    fn take_quarantine(&self, digest: RequestDigest, record: &KeyedRecord, whole: bool) {
+    fn take_quarantine(&self, digest: RequestFingerprint, record: &KeyedRecord, whole: bool) {
         let news = record.value.is_some() && apply_stored_quarantine(&self.core, digest);
         if news && !whole {
             propagate_quarantine_to_zone(&self.core, digest);
--- a/src/proxy/following/returning.rs
+++ b/src/proxy/following/returning.rs
@@ -15,7 +15,7 @@
     },
     state::{
         placement_view::{NodeRecord, StoredRecord},
-        request_digest::RequestDigest,
+        request_fingerprint::RequestFingerprint,
         store_position::StorePosition,
         timestamp::Timestamp,
     },
@@ -96,7 +96,7 @@
 }
 
 /// Requests that records of nodes hold in quarantine.
-pub(super) fn list_quarantined(records: &[KeyedRecord]) -> BTreeSet<RequestDigest> {
+pub(super) fn list_quarantined(records: &[KeyedRecord]) -> BTreeSet<RequestFingerprint> {
     let kept = records.iter().filter(|record| record.value.is_some());
     kept.filter_map(|record| parse_quarantine_key(&record.key))
         .collect()
@@ -107,7 +107,7 @@
 pub(super) async fn take_copy(
     core: &Rc<ProxyCore>,
     copy: Vec<StoredRecord>,
-    quarantined: &BTreeSet<RequestDigest>,
+    quarantined: &BTreeSet<RequestFingerprint>,
     next: u64,
 ) {
     let era = StorePosition::unpack(next).era;
--- a/src/state.rs
+++ b/src/state.rs
@@ -15,7 +15,7 @@
 pub mod published;
 pub mod quarantine;
 pub mod rate_limit;
-pub mod request_digest;
+pub mod request_fingerprint;
 pub mod routing_table;
 pub mod service_times;
 pub mod store_position;
--- a/src/state/answered_requests.rs
+++ b/src/state/answered_requests.rs
@@ -3,7 +3,7 @@
 //! What a run has answered does not crash it, so a request that is often asked for is no suspect only because some of its kind
 //! are always there when an upstream crashes. Another run may be of other software and starts anew.
 
-use crate::state::{incarnation_id::IncarnationId, request_digest::RequestDigest};
+use crate::state::{incarnation_id::IncarnationId, request_fingerprint::RequestFingerprint};
 use std::collections::{BTreeSet, VecDeque};
 
 /// Requests that are remembered, the latest.
@@ -13,13 +13,13 @@
 #[derive(Clone, Debug, Default)]
 pub struct AnsweredRequests {
     run: Option<IncarnationId>,
-    order: VecDeque<RequestDigest>,
-    known: BTreeSet<RequestDigest>,
+    order: VecDeque<RequestFingerprint>,
+    known: BTreeSet<RequestFingerprint>,
 }
 
 impl AnsweredRequests {
     /// Takes in that a run has answered a request.
-    pub fn note(&mut self, run: &IncarnationId, digest: RequestDigest) {
+    pub fn note(&mut self, run: &IncarnationId, digest: RequestFingerprint) {
         if self.run.as_ref() != Some(run) {
             *self = Self {
                 run: Some(run.clone()),
@@ -39,7 +39,7 @@
 
     /// Whether a run is known to have answered a request.
     #[must_use]
-    pub fn contains(&self, run: &IncarnationId, digest: RequestDigest) -> bool {
+    pub fn contains(&self, run: &IncarnationId, digest: RequestFingerprint) -> bool {
         self.run.as_ref() == Some(run) && self.known.contains(&digest)
     }
 }
--- a/src/state/crash_suspects.rs
+++ b/src/state/crash_suspects.rs
@@ -5,7 +5,7 @@
 //! isn't there the next time.
 
 use crate::state::{
-    incarnation_id::IncarnationId, request_digest::RequestDigest, timestamp::Timestamp,
+    incarnation_id::IncarnationId, request_fingerprint::RequestFingerprint, timestamp::Timestamp,
 };
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -30,14 +30,14 @@
 /// Requests that were at upstreams when these crashed, and were not answered since.
 #[derive(Clone, Debug, Default)]
 pub struct CrashSuspects {
-    suspects: BTreeMap<RequestDigest, Suspect>,
+    suspects: BTreeMap<RequestFingerprint, Suspect>,
 }
 
 impl CrashSuspects {
     /// Takes in that a run crashed while it ran a request; returns the crashed runs of that request so far.
     pub fn note_crash(
         &mut self,
-        digest: RequestDigest,
+        digest: RequestFingerprint,
         run: IncarnationId,
         now: Timestamp,
     ) -> usize {
@@ -54,7 +54,7 @@
     }
 
     /// Takes in that an upstream has answered a request.
-    pub fn note_answered(&mut self, digest: RequestDigest) {
+    pub fn note_answered(&mut self, digest: RequestFingerprint) {
         self.suspects.remove(&digest);
     }
 
--- a/src/state/quarantine.rs
+++ b/src/state/quarantine.rs
@@ -1,6 +1,6 @@
 //! Requests that are kept from all upstreams, since they crash each one that runs them.
 
-use crate::state::{request_digest::RequestDigest, timestamp::Timestamp};
+use crate::state::{request_fingerprint::RequestFingerprint, timestamp::Timestamp};
 use std::{
     collections::{BTreeMap, BTreeSet},
     time::Duration,
@@ -44,14 +44,19 @@
 /// Requests in quarantine.
 #[derive(Clone, Debug, Default)]
 pub struct Quarantine {
-    requests: BTreeMap<RequestDigest, Quarantined>,
+    requests: BTreeMap<RequestFingerprint, Quarantined>,
     /// When requests were let go before their time.
-    lifted: BTreeMap<RequestDigest, Timestamp>,
+    lifted: BTreeMap<RequestFingerprint, Timestamp>,
 }
 
 impl Quarantine {
     /// Puts a request into quarantine; true if it was not in it.
-    pub fn put(&mut self, digest: RequestDigest, source: QuarantineSource, now: Timestamp) -> bool {
+    pub fn put(
+        &mut self,
+        digest: RequestFingerprint,
+        source: QuarantineSource,
+        now: Timestamp,
+    ) -> bool {
         self.forget_past(now);
         let is_lifted = source == QuarantineSource::Told && self.lifted.contains_key(&digest);
         if is_lifted || self.requests.contains_key(&digest) {
@@ -66,7 +71,7 @@
     }
 
     /// Ends the quarantine of a request; returns who had found it out, if it was in it.
-    pub fn lift(&mut self, digest: RequestDigest, now: Timestamp) -> Option<QuarantineSource> {
+    pub fn lift(&mut self, digest: RequestFingerprint, now: Timestamp) -> Option<QuarantineSource> {
         self.forget_past(now);
         self.lifted.insert(digest, now);
         self.requests.remove(&digest).map(|known| known.source)
@@ -74,7 +79,7 @@
 
     /// How much longer a request is in quarantine; none if it is not.
     #[must_use]
-    pub fn time_left(&self, digest: RequestDigest, now: Timestamp) -> Option<Duration> {
+    pub fn time_left(&self, digest: RequestFingerprint, now: Timestamp) -> Option<Duration> {
         let quarantined = self.requests.get(&digest)?;
         (now < quarantined.until).then(|| quarantined.until.since(now))
     }
@@ -92,9 +97,9 @@
     #[must_use]
     pub fn list_unlike(
         &self,
-        stored: &BTreeSet<RequestDigest>,
+        stored: &BTreeSet<RequestFingerprint>,
         now: Timestamp,
-    ) -> Vec<RequestDigest> {
+    ) -> Vec<RequestFingerprint> {
         let kept = self.requests.iter();
         let kept = kept.filter(|(digest, known)| now < known.until && !stored.contains(*digest));
         let lifted = self.lifted.keys().filter(|digest| stored.contains(*digest));
--- a/src/state/request_digest.rs
+++ b/src/state/request_fingerprint.rs
@@ -9,12 +9,12 @@
 ///
 /// A cryptographic hash, so that nobody can make up a request which counts as somebody else's.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct RequestDigest(u64);
+pub struct RequestFingerprint(u64);
 
-impl RequestDigest {
+impl RequestFingerprint {
     /// The digest of a request.
     #[must_use]
-    pub fn of(method: &str, host: &str, target: &str, body: &[u8]) -> Self {
+    pub fn compute(method: &str, host: &str, target: &str, body: &[u8]) -> Self {
         let mut hasher = Sha256::new();
         for part in [method.as_bytes(), host.as_bytes(), target.as_bytes()] {
             hasher.update(part);
@@ -34,13 +34,13 @@
     }
 }
 
-impl fmt::Display for RequestDigest {
+impl fmt::Display for RequestFingerprint {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{:016x}", self.0)
     }
 }
 
-impl FromStr for RequestDigest {
+impl FromStr for RequestFingerprint {
     type Err = std::num::ParseIntError;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
@@ -48,13 +48,13 @@
     }
 }
 
-impl Serialize for RequestDigest {
+impl Serialize for RequestFingerprint {
     fn serialize<S: Serializer>(&self, to: S) -> Result<S::Ok, S::Error> {
         to.collect_str(self)
     }
 }
 
-impl<'a> Deserialize<'a> for RequestDigest {
+impl<'a> Deserialize<'a> for RequestFingerprint {
     fn deserialize<D: Deserializer<'a>>(from: D) -> Result<Self, D::Error> {
         let text = String::deserialize(from)?;
         text.parse().map_err(D::Error::custom)
--- a/src/transport/callers.rs
+++ b/src/transport/callers.rs
@@ -9,7 +9,7 @@
 pub use reply::{CallerReply, reply_json};
 
 use crate::{
-    protocol::headers::has_conflicting_lengths, state::request_digest::RequestDigest,
+    protocol::headers::has_conflicting_lengths, state::request_fingerprint::RequestFingerprint,
     timers::TimerService,
 };
 use body::{BodyError, read_body};
@@ -60,9 +60,9 @@
 
     /// What it has in common with every other attempt at the same request.
     #[must_use]
-    pub fn digest(&self) -> RequestDigest {
+    pub fn digest(&self) -> RequestFingerprint {
         let target = self.uri.path_and_query().map_or("", PathAndQuery::as_str);
-        RequestDigest::of(self.method.as_str(), self.host(), target, &self.body)
+        RequestFingerprint::compute(self.method.as_str(), self.host(), target, &self.body)
     }
 }
 
--- a/tests/integration/crash_counting.rs
+++ b/tests/integration/crash_counting.rs
@@ -12,14 +12,14 @@
         crash_suspects::{CRASHES_TO_QUARANTINE, CrashSuspects},
         incarnation_id::IncarnationId,
         quarantine::{QUARANTINE, Quarantine, QuarantineSource},
-        request_digest::RequestDigest,
+        request_fingerprint::RequestFingerprint,
         timestamp::Timestamp,
     },
 };
 use std::{collections::BTreeSet, net::SocketAddr, rc::Rc, time::Duration};
 
-fn digest(number: u64) -> RequestDigest {
-    RequestDigest::of("GET", "shop.example", &format!("/look/{number}"), b"")
+fn digest(number: u64) -> RequestFingerprint {
+    RequestFingerprint::compute("GET", "shop.example", &format!("/look/{number}"), b"")
 }
 
 fn run(number: u8) -> IncarnationId {
@@ -32,12 +32,12 @@
 #[test]
 fn digest_tells_parts_apart() {
     let digests = [
-        RequestDigest::of("GET", "shop.example", "/look/1", b""),
-        RequestDigest::of("HEAD", "shop.example", "/look/1", b""),
-        RequestDigest::of("GET", "shop.exampl", "e/look/1", b""),
-        RequestDigest::of("GET", "shop.example", "/look/", b"1"),
-        RequestDigest::of("GET", "other.example", "/look/1", b""),
-        RequestDigest::of("GET", "shop.example", "/look/1?a", b""),
+        RequestFingerprint::compute("GET", "shop.example", "/look/1", b""),
+        RequestFingerprint::compute("HEAD", "shop.example", "/look/1", b""),
+        RequestFingerprint::compute("GET", "shop.exampl", "e/look/1", b""),
+        RequestFingerprint::compute("GET", "shop.example", "/look/", b"1"),
+        RequestFingerprint::compute("GET", "other.example", "/look/1", b""),
+        RequestFingerprint::compute("GET", "shop.example", "/look/1?a", b""),
     ];
     assert_eq!(BTreeSet::from(digests).len(), digests.len());
 }
@@ -47,10 +47,10 @@
     check!()
         .with_type::<(Vec<u8>, String)>()
         .for_each(|(body, target)| {
-            let told = RequestDigest::of("POST", "shop.example", target, body);
+            let told = RequestFingerprint::compute("POST", "shop.example", target, body);
             let json = serde_json::to_string(&told).expect("a string");
             assert_eq!(
-                serde_json::from_str::<RequestDigest>(&json).ok(),
+                serde_json::from_str::<RequestFingerprint>(&json).ok(),
                 Some(told)
             );
         });
--- a/tests/integration/store_copy.rs
+++ b/tests/integration/store_copy.rs
@@ -6,7 +6,7 @@
         incarnation_id::IncarnationId,
         placement_view::{NodeRecord, StoredRecord},
         quarantine::{Quarantine, QuarantineSource},
-        request_digest::RequestDigest,
+        request_fingerprint::RequestFingerprint,
         store_position::StorePosition,
         timestamp::Timestamp,
     },
@@ -72,7 +72,7 @@
 /// Guards against requests that crash upstreams again, or are refused again, after the store came back.
 #[test]
 fn list_unlike_lost_and_lifted() {
-    let digest = |path| RequestDigest::of("GET", "shop.example", path, b"");
+    let digest = |path| RequestFingerprint::compute("GET", "shop.example", path, b"");
     let (lost, kept, lifted) = (digest("/lost"), digest("/kept"), digest("/lifted"));
     let mut quarantine = Quarantine::default();
     for known in [lost, kept, lifted] {
