--- a/src/coordination/table_sources.rs
+++ b/src/coordination/table_sources.rs
@@ -21,16 +21,16 @@
     /// The version that it has in force.
     pub version: ConfigurationVersion,
     /// Nodes that are to be offered it next.
-    pub pass_on: Vec<SocketAddr>,
+    pub forward_to: Vec<SocketAddr>,
 }
 
 /// What to do about newer versions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FetchStep {
     /// Ask this node for what is newer, which offers the version.
-    AskOffering(SocketAddr, ConfigurationVersion),
+    FetchOffered(SocketAddr, ConfigurationVersion),
     /// Ask this node, which told of the version by a request; an offer that comes meanwhile goes first.
-    AskHeard(SocketAddr, ConfigurationVersion),
+    FetchReported(SocketAddr, ConfigurationVersion),
     /// Look again then, or when an offer comes.
     Wait(Timestamp),
     /// Nothing is to be fetched, or nobody is left to ask.
@@ -40,7 +40,7 @@
 /// Who has told of versions that are not in force here.
 #[derive(Debug, Default)]
 pub struct TableSources {
-    heard: ConfigurationVersion,
+    highest_reported: ConfigurationVersion,
     /// Offers whose nodes have not been asked yet.
     offers: Vec<TableOffer>,
     /// Nodes that told of a version by a request.
@@ -54,18 +54,18 @@
 impl TableSources {
     /// The highest version heard of.
     #[must_use]
-    pub const fn heard(&self) -> ConfigurationVersion {
-        self.heard
+    pub const fn highest_reported(&self) -> ConfigurationVersion {
+        self.highest_reported
     }
 
     /// Takes in an offer along the tree.
-    pub fn note_offer(&mut self, offer: TableOffer) {
-        self.heard = self.heard.max(offer.version);
+    pub fn record_offer(&mut self, offer: TableOffer) {
+        self.highest_reported = self.highest_reported.max(offer.version);
         self.offers.push(offer);
     }
 
     /// Takes in a version that stood on a request or its answer; true if it is above `own`.
-    pub fn note_hint(
+    pub fn record_report(
         &mut self,
         from: SocketAddr,
         version: ConfigurationVersion,
@@ -75,8 +75,8 @@
         if version <= own {
             return false;
         }
-        if version > self.heard {
-            self.heard = version;
+        if version > self.highest_reported {
+            self.highest_reported = version;
             self.hinted = Some(now);
         }
         self.hints.retain(|(known, _)| *known != from);
@@ -89,8 +89,8 @@
     }
 
     /// What to do next, with version `own` in force.
-    pub fn take_step(&mut self, own: ConfigurationVersion, now: Timestamp) -> FetchStep {
-        if self.heard <= own {
+    pub fn plan_next_step(&mut self, own: ConfigurationVersion, now: Timestamp) -> FetchStep {
+        if self.highest_reported <= own {
             self.hints.clear();
             self.hinted = None;
             return FetchStep::Done;
@@ -100,7 +100,7 @@
             let offer = self.offers.remove(next);
             let (from, version) = (offer.from, offer.version);
             self.asked.push(offer);
-            return FetchStep::AskOffering(from, version);
+            return FetchStep::FetchOffered(from, version);
         }
         self.hints.retain(|(_, version)| *version > own);
         let Some((from, version)) = self.hints.back().copied() else {
@@ -114,11 +114,11 @@
             return FetchStep::Wait(due);
         }
         self.hints.pop_back();
-        FetchStep::AskHeard(from, version)
+        FetchStep::FetchReported(from, version)
     }
 
     /// Offers that are to go on now: those that are no news with `own` in force, and those whose nodes have been asked.
-    pub fn take_passable(&mut self, own: ConfigurationVersion) -> Vec<TableOffer> {
+    pub fn take_forwardable_offers(&mut self, own: ConfigurationVersion) -> Vec<TableOffer> {
         let no_news = |offer: &mut TableOffer| offer.version <= own;
         let mut passable: Vec<TableOffer> = self.offers.extract_if(.., no_news).collect();
         passable.append(&mut self.asked);
--- a/src/proxy/entry.rs
+++ b/src/proxy/entry.rs
@@ -211,7 +211,7 @@
 /// A client doesn't come back after it was told that there is no route. A node that has heard of a newer configuration doesn't
 /// know that: the route may be in it.
 fn end_without_route(core: &ProxyCore) -> RequestOutcome {
-    if core.table_sources.borrow().heard() > core.directory.borrow().version() {
+    if core.table_sources.borrow().highest_reported() > core.directory.borrow().version() {
         return RequestOutcome::Refused(RefusalReason::ConfigurationBehind, NO_ROUTES_RETRY);
     }
     RequestOutcome::NoRoute
--- a/src/proxy/state_sharing.rs
+++ b/src/proxy/state_sharing.rs
@@ -119,17 +119,17 @@
     if message.read_store {
         core.become_substitute_reader();
     }
-    let pass_on = std::mem::take(&mut message.forward_to);
+    let forward_to = std::mem::take(&mut message.forward_to);
     if let (Some(version), Some(from)) = (message.offered_version, message.sender) {
         let offer = TableOffer {
             from,
             version,
-            pass_on,
+            forward_to,
         };
         take_offer(core, offer);
         return;
     }
-    spread(core, &pass_on, &message);
+    spread(core, &forward_to, &message);
     if let Some(table) = message.stored_table {
         core.directory.borrow_mut().note_stored_table(table);
     }
--- a/src/proxy/table_fetching.rs
+++ b/src/proxy/table_fetching.rs
@@ -26,7 +26,7 @@
     let is_news = core
         .table_sources
         .borrow_mut()
-        .note_hint(from, version, own, now);
+        .record_report(from, version, own, now);
     if is_news {
         start_fetching(core);
     }
@@ -35,7 +35,7 @@
 /// Takes in a version that another node offers.
 pub fn take_offer(core: &Rc<ProxyCore>, offer: TableOffer) {
     note_report(core, offer.from, offer.version);
-    core.table_sources.borrow_mut().note_offer(offer);
+    core.table_sources.borrow_mut().record_offer(offer);
     // Wakes only who waits now: an offer that is asked about already must not end a question that comes later.
     core.table_offered.notify_waiters();
     start_fetching(core);
@@ -69,11 +69,11 @@
     loop {
         let (own, now) = (core.directory.borrow().version(), core.timers.now());
         pass_on_offers(core, own);
-        let step = core.table_sources.borrow_mut().take_step(own, now);
+        let step = core.table_sources.borrow_mut().plan_next_step(own, now);
         match step {
-            FetchStep::AskOffering(from, version) => fetch(core, from, version, own).await,
+            FetchStep::FetchOffered(from, version) => fetch(core, from, version, own).await,
             // Whoever offers the version is nearer than who was heard of by a request.
-            FetchStep::AskHeard(from, version) => tokio::select! {
+            FetchStep::FetchReported(from, version) => tokio::select! {
                 () = fetch(core, from, version, own) => {}
                 () = core.table_offered.notified() => {}
             },
@@ -92,10 +92,10 @@
 /// Passes on what is in force now, from here, and offers of nodes that were asked in vain, as they came: the nodes that
 /// come after may get through, and must not wait for this one.
 fn pass_on_offers(core: &Rc<ProxyCore>, own: ConfigurationVersion) {
-    let offers = core.table_sources.borrow_mut().take_passable(own);
+    let offers = core.table_sources.borrow_mut().take_forwardable_offers(own);
     for offer in offers {
         if offer.version <= own {
-            offer_table(core, &offer.pass_on);
+            offer_table(core, &offer.forward_to);
         } else {
             pass_on(core, &offer);
         }
--- a/src/proxy/table_offering.rs
+++ b/src/proxy/table_offering.rs
@@ -94,7 +94,7 @@
     let offer = TableOffer {
         from: core.settings.peers,
         version: core.directory.borrow().version(),
-        pass_on: receivers.to_vec(),
+        forward_to: receivers.to_vec(),
     };
     pass_on(core, &offer);
 }
@@ -106,5 +106,5 @@
         sender: Some(offer.from),
         ..StateMessage::default()
     };
-    spread(core, &offer.pass_on, &message);
+    spread(core, &offer.forward_to, &message);
 }
--- a/tests/integration/table_sources.rs
+++ b/tests/integration/table_sources.rs
@@ -18,11 +18,11 @@
     SocketAddr::from(([10, 0, 0, number], 7_000))
 }
 
-fn offer(from: u8, version: ConfigurationVersion, pass_on: &[u8]) -> TableOffer {
+fn offer(from: u8, version: ConfigurationVersion, forward_to: &[u8]) -> TableOffer {
     TableOffer {
         from: node(from),
         version,
-        pass_on: pass_on.iter().copied().map(node).collect(),
+        forward_to: forward_to.iter().copied().map(node).collect(),
     }
 }
 
@@ -33,52 +33,52 @@
 #[test]
 fn take_step_nothing_heard() {
     let mut sources = TableSources::default();
-    assert_eq!(sources.take_step(OWN, START), FetchStep::Done);
-    assert!(!sources.note_hint(node(1), OWN, OWN, START));
-    assert_eq!(sources.take_step(OWN, START), FetchStep::Done);
-    assert_eq!(sources.heard(), ConfigurationVersion(0));
+    assert_eq!(sources.plan_next_step(OWN, START), FetchStep::Done);
+    assert!(!sources.record_report(node(1), OWN, OWN, START));
+    assert_eq!(sources.plan_next_step(OWN, START), FetchStep::Done);
+    assert_eq!(sources.highest_reported(), ConfigurationVersion(0));
 }
 
 #[test]
 fn take_step_offers_before_hints() {
     let mut sources = TableSources::default();
-    assert!(sources.note_hint(node(1), NEWER, OWN, START));
-    sources.note_offer(offer(2, NEWER, &[]));
-    sources.note_offer(offer(3, NEWER, &[]));
+    assert!(sources.record_report(node(1), NEWER, OWN, START));
+    sources.record_offer(offer(2, NEWER, &[]));
+    sources.record_offer(offer(3, NEWER, &[]));
     let late = START + PATIENCE;
     assert_eq!(
-        sources.take_step(OWN, late),
-        FetchStep::AskOffering(node(2), NEWER)
+        sources.plan_next_step(OWN, late),
+        FetchStep::FetchOffered(node(2), NEWER)
     );
     assert_eq!(
-        sources.take_step(OWN, late),
-        FetchStep::AskOffering(node(3), NEWER)
+        sources.plan_next_step(OWN, late),
+        FetchStep::FetchOffered(node(3), NEWER)
     );
     assert_eq!(
-        sources.take_step(OWN, late),
-        FetchStep::AskHeard(node(1), NEWER)
+        sources.plan_next_step(OWN, late),
+        FetchStep::FetchReported(node(1), NEWER)
     );
-    assert_eq!(sources.take_step(OWN, late), FetchStep::Done);
+    assert_eq!(sources.plan_next_step(OWN, late), FetchStep::Done);
 }
 
 #[test]
 fn take_step_hint_waits() {
     let mut sources = TableSources::default();
-    sources.note_hint(node(1), NEWER, OWN, START);
+    sources.record_report(node(1), NEWER, OWN, START);
     let due = START + PATIENCE;
-    assert_eq!(sources.take_step(OWN, START), FetchStep::Wait(due));
-    sources.note_hint(node(2), NEWER, OWN, START + millis(200));
+    assert_eq!(sources.plan_next_step(OWN, START), FetchStep::Wait(due));
+    sources.record_report(node(2), NEWER, OWN, START + millis(200));
     let before = START + millis(299);
-    assert_eq!(sources.take_step(OWN, before), FetchStep::Wait(due));
+    assert_eq!(sources.plan_next_step(OWN, before), FetchStep::Wait(due));
     assert_eq!(
-        sources.take_step(OWN, due),
-        FetchStep::AskHeard(node(2), NEWER)
+        sources.plan_next_step(OWN, due),
+        FetchStep::FetchReported(node(2), NEWER)
     );
     assert_eq!(
-        sources.take_step(OWN, due),
-        FetchStep::AskHeard(node(1), NEWER)
+        sources.plan_next_step(OWN, due),
+        FetchStep::FetchReported(node(1), NEWER)
     );
-    assert_eq!(sources.take_step(OWN, due), FetchStep::Done);
+    assert_eq!(sources.plan_next_step(OWN, due), FetchStep::Done);
 }
 
 /// Symptom: a node that starts serves nothing for long. Cause: it waits for an offer, though no other node knows it.
@@ -86,23 +86,26 @@
 fn take_step_hint_to_an_empty_node() {
     let mut sources = TableSources::default();
     let own = ConfigurationVersion::default();
-    sources.note_hint(node(1), NEWER, own, START);
+    sources.record_report(node(1), NEWER, own, START);
     assert_eq!(
-        sources.take_step(own, START),
-        FetchStep::AskHeard(node(1), NEWER)
+        sources.plan_next_step(own, START),
+        FetchStep::FetchReported(node(1), NEWER)
     );
 }
 
 #[test]
 fn take_step_offer_during_wait() {
     let mut sources = TableSources::default();
-    sources.note_hint(node(1), NEWER, OWN, START);
+    sources.record_report(node(1), NEWER, OWN, START);
     let now = START + millis(20);
-    assert!(matches!(sources.take_step(OWN, now), FetchStep::Wait(_)));
-    sources.note_offer(offer(2, NEWER, &[]));
+    assert!(matches!(
+        sources.plan_next_step(OWN, now),
+        FetchStep::Wait(_)
+    ));
+    sources.record_offer(offer(2, NEWER, &[]));
     assert_eq!(
-        sources.take_step(OWN, now),
-        FetchStep::AskOffering(node(2), NEWER)
+        sources.plan_next_step(OWN, now),
+        FetchStep::FetchOffered(node(2), NEWER)
     );
 }
 
@@ -110,21 +113,21 @@
 #[test]
 fn take_step_offer_during_question() {
     let mut sources = TableSources::default();
-    sources.note_hint(node(1), NEWER, OWN, START);
-    sources.note_hint(node(2), NEWER, OWN, START);
+    sources.record_report(node(1), NEWER, OWN, START);
+    sources.record_report(node(2), NEWER, OWN, START);
     let late = START + PATIENCE;
     assert_eq!(
-        sources.take_step(OWN, late),
-        FetchStep::AskHeard(node(2), NEWER)
+        sources.plan_next_step(OWN, late),
+        FetchStep::FetchReported(node(2), NEWER)
     );
-    sources.note_offer(offer(3, NEWER, &[]));
+    sources.record_offer(offer(3, NEWER, &[]));
     assert_eq!(
-        sources.take_step(OWN, late),
-        FetchStep::AskOffering(node(3), NEWER)
+        sources.plan_next_step(OWN, late),
+        FetchStep::FetchOffered(node(3), NEWER)
     );
     assert_eq!(
-        sources.take_step(OWN, late),
-        FetchStep::AskHeard(node(1), NEWER)
+        sources.plan_next_step(OWN, late),
+        FetchStep::FetchReported(node(1), NEWER)
     );
 }
 
@@ -132,30 +135,30 @@
 #[test]
 fn take_step_wait_of_the_next_version() {
     let mut sources = TableSources::default();
-    sources.note_hint(node(1), NEWER, OWN, START);
-    assert_eq!(sources.take_step(NEWER, START), FetchStep::Done);
+    sources.record_report(node(1), NEWER, OWN, START);
+    assert_eq!(sources.plan_next_step(NEWER, START), FetchStep::Done);
     let later = START + millis(250);
-    sources.note_hint(node(1), NEWEST, NEWER, later);
+    sources.record_report(node(1), NEWEST, NEWER, later);
     let due = later + PATIENCE;
-    assert_eq!(sources.take_step(NEWER, later), FetchStep::Wait(due));
+    assert_eq!(sources.plan_next_step(NEWER, later), FetchStep::Wait(due));
 }
 
 #[test]
 fn take_passable_once_in_force() {
     let mut sources = TableSources::default();
     let (first, second) = (offer(1, NEWER, &[3, 4]), offer(2, NEWER, &[5]));
-    sources.note_offer(first.clone());
-    sources.note_offer(second.clone());
-    assert!(sources.take_passable(OWN).is_empty());
+    sources.record_offer(first.clone());
+    sources.record_offer(second.clone());
+    assert!(sources.take_forwardable_offers(OWN).is_empty());
     assert_eq!(
-        sources.take_step(OWN, START),
-        FetchStep::AskOffering(node(1), NEWER)
+        sources.plan_next_step(OWN, START),
+        FetchStep::FetchOffered(node(1), NEWER)
     );
-    let mut passable = sources.take_passable(NEWER);
+    let mut passable = sources.take_forwardable_offers(NEWER);
     passable.sort_by_key(|offer| offer.from);
     assert_eq!(passable, [first, second]);
-    assert!(sources.take_passable(NEWER).is_empty());
-    assert_eq!(sources.take_step(NEWER, START), FetchStep::Done);
+    assert!(sources.take_forwardable_offers(NEWER).is_empty());
+    assert_eq!(sources.plan_next_step(NEWER, START), FetchStep::Done);
 }
 
 /// Symptom: a version stops at a node that can't fetch it. Cause: the nodes behind it are told only when it has nobody left
@@ -164,29 +167,29 @@
 fn take_passable_asked_in_vain() {
     let mut sources = TableSources::default();
     let (failed, newest) = (offer(1, NEWER, &[3]), offer(2, NEWEST, &[4]));
-    sources.note_offer(failed.clone());
-    sources.note_offer(newest.clone());
-    sources.note_hint(node(5), NEWEST, OWN, START);
-    assert!(sources.take_passable(OWN).is_empty());
+    sources.record_offer(failed.clone());
+    sources.record_offer(newest.clone());
+    sources.record_report(node(5), NEWEST, OWN, START);
+    assert!(sources.take_forwardable_offers(OWN).is_empty());
     assert!(matches!(
-        sources.take_step(OWN, START),
-        FetchStep::AskOffering(_, NEWER)
+        sources.plan_next_step(OWN, START),
+        FetchStep::FetchOffered(_, NEWER)
     ));
-    assert_eq!(sources.take_passable(OWN), [failed]);
-    assert!(sources.take_passable(OWN).is_empty());
+    assert_eq!(sources.take_forwardable_offers(OWN), [failed]);
+    assert!(sources.take_forwardable_offers(OWN).is_empty());
     assert!(matches!(
-        sources.take_step(OWN, START),
-        FetchStep::AskOffering(_, NEWEST)
+        sources.plan_next_step(OWN, START),
+        FetchStep::FetchOffered(_, NEWEST)
     ));
-    assert_eq!(sources.take_passable(OWN), [newest]);
-    assert!(sources.take_passable(OWN).is_empty());
+    assert_eq!(sources.take_forwardable_offers(OWN), [newest]);
+    assert!(sources.take_forwardable_offers(OWN).is_empty());
     let late = START + PATIENCE;
     assert_eq!(
-        sources.take_step(OWN, late),
-        FetchStep::AskHeard(node(5), NEWEST)
+        sources.plan_next_step(OWN, late),
+        FetchStep::FetchReported(node(5), NEWEST)
     );
-    assert_eq!(sources.take_step(OWN, late), FetchStep::Done);
-    assert!(sources.take_passable(OWN).is_empty());
+    assert_eq!(sources.plan_next_step(OWN, late), FetchStep::Done);
+    assert!(sources.take_forwardable_offers(OWN).is_empty());
 }
 
 /// What nodes tell, and how the asking ends.
@@ -215,14 +218,16 @@
         match told {
             Told::Offer { from, version } => {
                 let version = ConfigurationVersion(u64::from(version % 8));
-                self.sources.note_offer(offer(from % 4, version, &[]));
+                self.sources.record_offer(offer(from % 4, version, &[]));
                 *self.told.entry(node(from % 4)).or_default() += 1;
                 self.offered += 1;
             }
             Told::Hint { from, version } => {
                 let version = ConfigurationVersion(u64::from(version % 8));
                 let from = node(from % 4);
-                let news = self.sources.note_hint(from, version, self.own, self.now);
+                let news = self
+                    .sources
+                    .record_report(from, version, self.own, self.now);
                 assert_eq!(news, version > self.own);
                 *self.told.entry(from).or_default() += usize::from(news);
             }
@@ -234,16 +239,16 @@
     }
 
     fn step(&mut self, succeeds: bool) -> FetchStep {
-        let passable = self.sources.take_passable(self.own);
+        let passable = self.sources.take_forwardable_offers(self.own);
         let is_asked = |offer: &TableOffer| self.asked.contains(&(offer.from, offer.version));
         let (asked, unasked): (Vec<_>, Vec<_>) = passable.iter().partition(|offer| is_asked(offer));
         assert!(asked.len() >= self.asked.len());
         assert!(unasked.iter().all(|offer| offer.version <= self.own));
         self.asked.clear();
         self.passed_on += passable.len();
-        let step = self.sources.take_step(self.own, self.now);
+        let step = self.sources.plan_next_step(self.own, self.now);
         match step {
-            FetchStep::AskOffering(from, version) | FetchStep::AskHeard(from, version) => {
+            FetchStep::FetchOffered(from, version) | FetchStep::FetchReported(from, version) => {
                 assert!(version > self.own);
                 let left = self.told.get_mut(&from).expect("it told of a version");
                 *left = left.checked_sub(1).expect("it was asked before");
@@ -256,7 +261,7 @@
             }
             FetchStep::Done => {}
         }
-        if let FetchStep::AskOffering(from, version) = step {
+        if let FetchStep::FetchOffered(from, version) = step {
             self.asked.push((from, version));
         }
         step
--- a/tests/integration/table_spreading/calls.rs
+++ b/tests/integration/table_spreading/calls.rs
@@ -111,7 +111,7 @@
         }
         let mut bytes = 0;
         match self.calls[number].purpose.clone() {
-            Purpose::Offer(message, pass_on) => {
+            Purpose::Offer(message, forward_to) => {
                 let (Some(version), Some(from)) = (message.offered_version, message.sender) else {
                     unreachable!("an offer tells version and node");
                 };
@@ -120,20 +120,20 @@
                     TableOffer {
                         from,
                         version,
-                        pass_on,
+                        forward_to,
                     },
                 );
                 bytes = self.told_bytes(to);
             }
             Purpose::DirectOffer(version) => {
                 let from = address(self.calls[number].from);
-                let pass_on = Vec::new();
+                let forward_to = Vec::new();
                 self.take_offer(
                     to,
                     TableOffer {
                         from,
                         version,
-                        pass_on,
+                        forward_to,
                     },
                 );
                 bytes = self.told_bytes(to);
--- a/tests/integration/table_spreading/glue.rs
+++ b/tests/integration/table_spreading/glue.rs
@@ -59,11 +59,11 @@
         let own = self.nodes[node].own;
         self.nodes[node].waits_until = None;
         self.pass_on_offers(node);
-        match self.nodes[node].sources.take_step(own, now) {
-            FetchStep::AskOffering(from, _) => {
+        match self.nodes[node].sources.plan_next_step(own, now) {
+            FetchStep::FetchOffered(from, _) => {
                 self.call(node, node_at(from), Purpose::Fetch(own));
             }
-            FetchStep::AskHeard(from, _) => {
+            FetchStep::FetchReported(from, _) => {
                 let call = self.call(node, node_at(from), Purpose::Fetch(own));
                 self.nodes[node].asks_heard = Some(call);
             }
@@ -77,12 +77,12 @@
 
     pub fn pass_on_offers(&mut self, node: usize) {
         let own = self.nodes[node].own;
-        let offers = self.nodes[node].sources.take_passable(own);
+        let offers = self.nodes[node].sources.take_forwardable_offers(own);
         for offer in offers {
             if offer.version <= own {
-                self.offer(node, &offer.pass_on);
+                self.offer(node, &offer.forward_to);
             } else {
-                self.spread(node, offer.from, offer.version, &offer.pass_on);
+                self.spread(node, offer.from, offer.version, &offer.forward_to);
             }
         }
     }
@@ -90,7 +90,7 @@
     pub fn take_offer(&mut self, node: usize, offer: TableOffer) {
         let from = node_at(offer.from);
         self.nodes[node].known.insert(from, offer.version);
-        self.nodes[node].sources.note_offer(offer);
+        self.nodes[node].sources.record_offer(offer);
         if let Some(call) = self.nodes[node].asks_heard.take() {
             self.cancel(call);
             self.fetch_on(node);
@@ -109,7 +109,7 @@
         known.known.insert(from, version);
         if known
             .sources
-            .note_hint(address(from), version, known.own, now)
+            .record_report(address(from), version, known.own, now)
         {
             self.start_fetching(node);
         }
