--- a/src/coordination.rs
+++ b/src/coordination.rs
@@ -1,6 +1,6 @@
 //! Decisions: who does what. Pure functions of state, event and time that return actions.
 
-pub mod calls_per_run;
+pub mod calls_per_execution;
 pub mod crash_counters;
 pub mod local_upstream;
 pub mod offer_rounds;
--- a/src/coordination/calls_per_run.rs
+++ b/src/coordination/calls_per_execution.rs
@@ -51,7 +51,7 @@
 }
 
 #[derive(Clone, Debug, Default)]
-struct Runs {
+struct Executions {
     recent: FadingCount,
     /// Moving averages of the requests for each service that came while a run lasted.
     during: HashMap<ServiceName, f64>,
@@ -59,29 +59,29 @@
 
 /// What had arrived when a run began.
 #[derive(Clone, Debug, Default)]
-pub struct RunStart(Vec<(ServiceName, u64)>);
+pub struct ExecutionStart(Vec<(ServiceName, u64)>);
 
 /// Counts of the requests that begin on a VM and of the runs of its upstream.
 #[derive(Clone, Debug, Default)]
-pub struct CallsPerRun {
+pub struct CallsPerExecution {
     arrivals: HashMap<ServiceName, Arrivals>,
-    classes: HashMap<ClassName, Runs>,
+    classes: HashMap<ClassName, Executions>,
 }
 
-impl CallsPerRun {
+impl CallsPerExecution {
     /// Counts a request that begins on this VM.
-    pub fn note_request(&mut self, service: &ServiceName, now: Timestamp) {
+    pub fn record_request(&mut self, service: &ServiceName, now: Timestamp) {
         let arrivals = self.arrivals.entry(service.clone()).or_default();
         arrivals.recent.add_one(now);
         arrivals.all += 1;
     }
 
-    /// Counts a run that begins; what is returned goes to [`Self::note_end`].
-    pub fn note_start(&mut self, class: &ClassName, now: Timestamp) -> RunStart {
+    /// Counts a run that begins; what is returned goes to [`Self::record_end`].
+    pub fn record_start(&mut self, class: &ClassName, now: Timestamp) -> ExecutionStart {
         let runs = self.classes.entry(class.clone()).or_default();
         runs.recent.add_one(now);
         let arrivals = self.arrivals.iter();
-        RunStart(
+        ExecutionStart(
             arrivals
                 .map(|(service, arrivals)| (service.clone(), arrivals.all))
                 .collect(),
@@ -89,7 +89,7 @@
     }
 
     /// Learns from a run that has ended.
-    pub fn note_end(&mut self, class: &ClassName, start: &RunStart) {
+    pub fn record_end(&mut self, class: &ClassName, start: &ExecutionStart) {
         let Some(runs) = self.classes.get_mut(class) else {
             return;
         };
@@ -106,7 +106,7 @@
     /// Calls that a run of a class makes at each service, at the most. Nothing is known of a class before its
     /// first run has ended.
     #[must_use]
-    pub fn bound_calls(&self, class: &ClassName, now: Timestamp) -> Vec<(ServiceName, f64)> {
+    pub fn estimate_max_calls(&self, class: &ClassName, now: Timestamp) -> Vec<(ServiceName, f64)> {
         let Some(runs) = self.classes.get(class) else {
             return Vec::new();
         };
--- a/src/proxy/core.rs
+++ b/src/proxy/core.rs
@@ -7,8 +7,9 @@
 
 use crate::{
     coordination::{
-        calls_per_run::CallsPerRun, local_upstream::LocalUpstream, offer_rounds::OfferRounds,
-        retry_budget::RetryBudget, table_sources::TableSources, version_lag::VersionLag,
+        calls_per_execution::CallsPerExecution, local_upstream::LocalUpstream,
+        offer_rounds::OfferRounds, retry_budget::RetryBudget, table_sources::TableSources,
+        version_lag::VersionLag,
     },
     options::proxy_settings::{NodeBounds, ProxySettings},
     proxy::{
@@ -69,7 +70,7 @@
     /// Budgets for second upstreams, by service.
     pub retry_budgets: RefCell<HashMap<ServiceName, RetryBudget>>,
     /// What runs of the upstream's classes call.
-    pub calls_per_execution: RefCell<CallsPerRun>,
+    pub calls_per_execution: RefCell<CallsPerExecution>,
     /// Connections to the upstream and to other nodes.
     pub outgoing: Rc<OutgoingConnections>,
     /// Requests of clients in progress.
--- a/src/proxy/executing.rs
+++ b/src/proxy/executing.rs
@@ -103,12 +103,12 @@
     let started = core
         .calls_per_execution
         .borrow_mut()
-        .note_start(&hop.class, core.timers.now());
+        .record_start(&hop.class, core.timers.now());
     let (outcome, response) = dispatch(core, hop, req, digest, time_left).await;
     drop(slot);
     core.calls_per_execution
         .borrow_mut()
-        .note_end(&hop.class, &started);
+        .record_end(&hop.class, &started);
     CompletedAttempt {
         answer: describe(core, outcome, waited),
         response,
--- a/src/proxy/retry_budgets.rs
+++ b/src/proxy/retry_budgets.rs
@@ -15,7 +15,7 @@
     let now = core.timers.now();
     core.calls_per_execution
         .borrow_mut()
-        .note_request(service, now);
+        .record_request(service, now);
     let mut budgets = core.retry_budgets.borrow_mut();
     let budget = budgets.entry(service.clone()).or_default();
     budget.count_request(now, core.limits().repeats);
@@ -64,7 +64,10 @@
         Self {
             now,
             share: find_share(core),
-            amounts: core.calls_per_execution.borrow().bound_calls(class, now),
+            amounts: core
+                .calls_per_execution
+                .borrow()
+                .estimate_max_calls(class, now),
         }
     }
 
--- a/tests/integration/repeats.rs
+++ b/tests/integration/repeats.rs
@@ -3,7 +3,7 @@
 use bolero::{TypeGenerator, check};
 use camphorturn::{
     coordination::{
-        calls_per_run::{CallsPerRun, RunStart},
+        calls_per_execution::{CallsPerExecution, ExecutionStart},
         retry_budget::{RetryBudget, RetryBudgetRules, RetryBudgetShare},
     },
     state::{
@@ -88,19 +88,19 @@
 #[test]
 fn bound_calls_never_below_what_a_run_makes() {
     let (history, valve) = (ClassName::from("history"), ServiceName::from("irrigate"));
-    let mut calls = CallsPerRun::default();
+    let mut calls = CallsPerExecution::default();
     let mut now = Timestamp(0);
     for _ in 0..50 {
-        let start = calls.note_start(&history, now);
+        let start = calls.record_start(&history, now);
         for _ in 0..2 {
-            calls.note_request(&valve, now);
+            calls.record_request(&valve, now);
         }
-        calls.note_end(&history, &start);
+        calls.record_end(&history, &start);
         now = now + Duration::from_millis(40);
     }
     // Clients of the VM call the same service.
-    calls.note_request(&valve, now);
-    let bound = calls.bound_calls(&history, now);
+    calls.record_request(&valve, now);
+    let bound = calls.estimate_max_calls(&history, now);
     let [(service, amount)] = bound.as_slice() else {
         panic!("{bound:?}");
     };
@@ -110,8 +110,12 @@
 
 #[test]
 fn bound_calls_of_an_unknown_class() {
-    let calls = CallsPerRun::default();
-    assert!(calls.bound_calls(&"new".into(), Timestamp(0)).is_empty());
+    let calls = CallsPerExecution::default();
+    assert!(
+        calls
+            .estimate_max_calls(&"new".into(), Timestamp(0))
+            .is_empty()
+    );
 }
 
 /// A drawn deployment: service 0 is called by clients, each next one by the runs of the one before.
@@ -129,7 +133,7 @@
 struct ModelNode {
     service: usize,
     budgets: HashMap<usize, RetryBudget>,
-    calls: CallsPerRun,
+    calls: CallsPerExecution,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -154,7 +158,7 @@
     nodes: Vec<ModelNode>,
     due: BinaryHeap<Reverse<(u64, usize, ModelEvent)>>,
     sequence: usize,
-    runs: Vec<RunStart>,
+    runs: Vec<ExecutionStart>,
     /// What the rule counts, by service.
     requests: Vec<Vec<Timestamp>>,
     beyond_first: Vec<Vec<Timestamp>>,
@@ -167,7 +171,7 @@
         let nodes = (0..depth * each).map(|number| ModelNode {
             service: number / each,
             budgets: HashMap::new(),
-            calls: CallsPerRun::default(),
+            calls: CallsPerExecution::default(),
         });
         Self {
             tree,
@@ -220,7 +224,7 @@
                 again,
             } => {
                 let node = &mut self.nodes[entry];
-                node.calls.note_request(&Self::name(service), now);
+                node.calls.record_request(&Self::name(service), now);
                 let budget = node.budgets.entry(service).or_default();
                 budget.count_request(now, RULES);
                 self.requests[service].push(now);
@@ -239,7 +243,7 @@
                 let start = std::mem::take(&mut self.runs[run]);
                 let service = self.nodes[node].service;
                 let class = Self::class(service);
-                self.nodes[node].calls.note_end(&class, &start);
+                self.nodes[node].calls.record_end(&class, &start);
                 if fails && first && self.pays(entry, service, now) {
                     self.start(millis, entry, service, false);
                 }
@@ -261,7 +265,7 @@
         let node = service * each + self.random.random_range(0..each);
         let class = Self::class(service);
         if !first {
-            for (called, amount) in self.nodes[node].calls.bound_calls(&class, now) {
+            for (called, amount) in self.nodes[node].calls.estimate_max_calls(&class, now) {
                 let called: usize = called.as_str()[1..].parse().expect("a number");
                 let (nodes, uptime) = (self.nodes.len(), now.since(Timestamp(0)));
                 let budget = self.nodes[node].budgets.entry(called).or_default();
@@ -274,7 +278,7 @@
             self.beyond_first[service].push(now);
         }
         self.runs
-            .push(self.nodes[node].calls.note_start(&class, now));
+            .push(self.nodes[node].calls.record_start(&class, now));
         let took = self.random.random_range(20..150);
         if service + 1 < self.requests.len() {
             for _ in 0..self.tree.calls[service] % 4 {
