--- a/src/coordination.rs
+++ b/src/coordination.rs
@@ -2,6 +2,7 @@
 
 pub mod calls_per_execution;
 pub mod crash_counters;
+pub mod fanout;
 pub mod local_upstream;
 pub mod offer_rounds;
 pub mod placement;
@@ -11,7 +12,6 @@
 pub mod slot_queue;
 pub mod slot_search;
 pub mod slow_start;
-pub mod spreading;
 pub mod store_reading;
 pub mod table_sources;
 pub mod version_lag;
--- a/src/coordination/table_sources.rs
+++ b/src/coordination/table_sources.rs
@@ -1,6 +1,6 @@
 //! From which node a newer routing table is fetched, and whom to tell of it then.
 //!
-//! One node of a zone offers a new version along a tree (`spreading`); whoever lacks it fetches it from the node that
+//! One node of a zone offers a new version along a tree (`fanout`); whoever lacks it fetches it from the node that
 //! offered it, once, and offers it on. Versions also stand on requests between nodes. These lead to nodes of any zone, many of
 //! them to the same, so they count only where no offer comes in time.
 
--- a/src/proxy/state_messages.rs
+++ b/src/proxy/state_messages.rs
@@ -1,7 +1,7 @@
 //! Messages with state from node to node, and how they reach all nodes of a zone.
 
 use crate::{
-    coordination::spreading::split_receivers,
+    coordination::fanout::split_receivers,
     protocol::hop::{STATE_HEADER, StateMessage},
     proxy::{core::ProxyCore, events::ProxyEvent},
     transport::outgoing::{AnswerTimeouts, ConnectionReuse, SendOptions},
--- a/tests/integration/proxy_decisions.rs
+++ b/tests/integration/proxy_decisions.rs
@@ -2,9 +2,9 @@
 
 use camphorturn::{
     coordination::{
+        fanout::split_receivers,
         local_upstream::{Announcement, AnnouncementEffect, LocalUpstream},
         placement::order_candidates,
-        spreading::split_receivers,
         store_reading::{ReadingRole, is_reader, plan_reading},
     },
     log_reading::line::LogLine,
--- a/tests/integration/table_spreading/glue.rs
+++ b/tests/integration/table_spreading/glue.rs
@@ -3,7 +3,7 @@
 use super::mesh::{Event, Mesh, Purpose, address, node_at};
 use camphorturn::{
     coordination::{
-        spreading::split_receivers,
+        fanout::split_receivers,
         table_sources::{FetchStep, TableOffer},
     },
     protocol::hop::StateMessage,
