--- a/src/commands/dev/report.rs
+++ b/src/commands/dev/report.rs
@@ -7,7 +7,7 @@
         client::ToldOutcome,
         load::{CallKind, CallRecord},
     },
-    protocol::operator_views::share,
+    protocol::operator_views::compute_share,
     state::names::ClassName,
 };
 use hdrhistogram::Histogram;
@@ -78,8 +78,8 @@
             classes,
             audit,
             seconds: took.as_secs_f64(),
-            calls_per_second: share(calls, 1) / took.as_secs_f64().max(0.001),
-            probes_per_call: share(mesh.count_probes(), calls.max(1)),
+            calls_per_second: compute_share(calls, 1) / took.as_secs_f64().max(0.001),
+            probes_per_call: compute_share(mesh.count_probes(), calls.max(1)),
         }
     }
 
@@ -119,7 +119,7 @@
                 on_target += u64::from(record.took <= kind.target);
             }
         }
-        report.share_on_target = share(on_target, report.calls);
+        report.share_on_target = compute_share(on_target, report.calls);
         report.p50_micros = times.value_at_quantile(0.5);
         report.p99_micros = times.value_at_quantile(0.99);
         report.p999_micros = times.value_at_quantile(0.999);
--- a/src/commands/drain.rs
+++ b/src/commands/drain.rs
@@ -6,7 +6,7 @@
         access::{AccessArguments, OperatorAccess, access_arguments},
         exit_code::ExitCode,
     },
-    protocol::operator_views::NodeCondition,
+    protocol::operator_views::NodeHealth,
     transport::operators::client::OperatorClient,
 };
 use bpaf::Bpaf;
@@ -38,7 +38,7 @@
         /// Where it was told.
         address: SocketAddr,
         /// Its condition after that.
-        condition: NodeCondition,
+        condition: NodeHealth,
     },
     /// No reachable node knows the name.
     NoSuchNode {
--- a/src/commands/evacuate.rs
+++ b/src/commands/evacuate.rs
@@ -6,7 +6,7 @@
         exit_code::ExitCode,
     },
     protocol::operator_views::EvacuationView,
-    transport::operators::client::{AskError, OperatorClient},
+    transport::operators::client::{OperatorClient, OperatorClientError},
 };
 use bpaf::Bpaf;
 use std::io::{self, Write};
@@ -43,7 +43,7 @@
                 write_view(arguments, &view, out)?;
                 return Ok(ExitCode::Success);
             }
-            Err(problem @ AskError::Refused { status: 400, .. }) => {
+            Err(problem @ OperatorClientError::Refused { status: 400, .. }) => {
                 writeln!(out, "{node}: {problem}")?;
                 return Ok(ExitCode::BadInput);
             }
--- a/src/commands/log_source.rs
+++ b/src/commands/log_source.rs
@@ -4,8 +4,8 @@
     commands::mesh::{MeshSurvey, ask_all, survey_nodes},
     log_reading::runs::{ReadLines, split_runs},
     options::access::{AccessArguments, AccessError, access_arguments},
-    protocol::operator_views::LinePage,
-    transport::operators::client::{AskError, OperatorClient},
+    protocol::operator_views::LogPage,
+    transport::operators::client::{OperatorClient, OperatorClientError},
 };
 use bpaf::Bpaf;
 use serde::Serialize;
@@ -240,12 +240,12 @@
         collected
     }
 
-    fn read_node(&self, address: SocketAddr) -> Result<LinePage, AskError> {
+    fn read_node(&self, address: SocketAddr) -> Result<LogPage, OperatorClientError> {
         let from = self.next.get(&address).copied().unwrap_or_default();
-        let page = self.client.fetch_lines(address, from)?;
+        let page = self.client.fetch_log_lines(address, from)?;
         if page.next < from {
             // Another run of the node counts from the beginning.
-            return self.client.fetch_lines(address, 0);
+            return self.client.fetch_log_lines(address, 0);
         }
         Ok(page)
     }
--- a/src/commands/mesh.rs
+++ b/src/commands/mesh.rs
@@ -3,7 +3,7 @@
 use crate::{
     protocol::operator_views::NodeStatus,
     state::names::NodeName,
-    transport::operators::client::{AskError, OperatorClient},
+    transport::operators::client::{OperatorClient, OperatorClientError},
 };
 use serde::Serialize;
 use std::{
@@ -97,7 +97,7 @@
 fn take_answers(
     survey: &mut MeshSurvey,
     leads: &BTreeMap<SocketAddr, Lead>,
-    answers: Vec<(SocketAddr, Result<NodeStatus, AskError>)>,
+    answers: Vec<(SocketAddr, Result<NodeStatus, OperatorClientError>)>,
 ) -> BTreeMap<SocketAddr, Lead> {
     let mut found = BTreeMap::new();
     for (address, answer) in answers {
--- a/src/commands/publish.rs
+++ b/src/commands/publish.rs
@@ -13,7 +13,7 @@
     },
     state::configuration::ConfigurationVersion,
     timers::TimerService,
-    transport::operators::client::{AskError, OperatorClient},
+    transport::operators::client::{OperatorClient, OperatorClientError},
 };
 use bpaf::Bpaf;
 use serde::Serialize;
@@ -202,13 +202,15 @@
 }
 
 /// A node that was reached and did not answer may have published.
-fn describe_failure(problem: &AskError) -> PublicationOutcome {
+fn describe_failure(problem: &OperatorClientError) -> PublicationOutcome {
     let reason = problem.to_string();
     match problem {
-        AskError::Refused { .. } | AskError::Unreached(_) => {
+        OperatorClientError::Refused { .. } | OperatorClientError::NotSent(_) => {
             PublicationOutcome::NotStored { reason }
         }
-        AskError::Cut(_) | AskError::Unreadable(_) => PublicationOutcome::Unknown { reason },
+        OperatorClientError::NoAnswer(_) | OperatorClientError::InvalidAnswer(_) => {
+            PublicationOutcome::Unknown { reason }
+        }
     }
 }
 
@@ -218,13 +220,13 @@
 /// The problem of the last node asked.
 pub fn ask_first<T>(
     access: &OperatorAccess,
-    ask: impl Fn(SocketAddr) -> Result<T, AskError>,
-) -> Result<T, AskError> {
-    let mut problem = AskError::Unreached("no node is named".to_owned());
+    ask: impl Fn(SocketAddr) -> Result<T, OperatorClientError>,
+) -> Result<T, OperatorClientError> {
+    let mut problem = OperatorClientError::NotSent("no node is named".to_owned());
     for node in &access.nodes {
         match ask(*node) {
-            Err(AskError::Unreached(cause)) => {
-                problem = AskError::Unreached(format!("{node}: {cause}"));
+            Err(OperatorClientError::NotSent(cause)) => {
+                problem = OperatorClientError::NotSent(format!("{node}: {cause}"));
             }
             answer => return answer,
         }
--- a/src/commands/status/report.rs
+++ b/src/commands/status/report.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     commands::mesh::{MeshSurvey, ReachedNode},
-    protocol::operator_views::{ClassStatus, WANTED_SHARE, share},
+    protocol::operator_views::{ClassStatus, REQUIRED_ON_TARGET_SHARE, compute_share},
     state::{
         configuration::ConfigurationVersion,
         names::{AvailabilityZoneName, ClassName, NodeName},
@@ -106,7 +106,7 @@
     let mut sums: BTreeMap<Option<ClassName>, ClassSummary> = BTreeMap::new();
     for node in nodes {
         for class in &node.status.classes {
-            let rate = share(class.requests * 1_000, node.status.up_ms.max(1));
+            let rate = compute_share(class.requests * 1_000, node.status.up_ms.max(1));
             if let Some(sum) = sums.get_mut(&class.class) {
                 add_class(sum, class, rate);
             } else {
@@ -159,7 +159,7 @@
                 class.label(),
                 status.on_target_share() * 100.0,
                 status.requests,
-                WANTED_SHARE * 100.0,
+                REQUIRED_ON_TARGET_SHARE * 100.0,
                 status.target_ms,
             );
             new_problem(ProblemKind::TargetMissed, message)
--- a/src/protocol/operator_views.rs
+++ b/src/protocol/operator_views.rs
@@ -11,7 +11,7 @@
 use std::{collections::BTreeSet, net::SocketAddr};
 
 /// Share of a class's requests that are to be answered within its target.
-pub const WANTED_SHARE: f64 = 0.99;
+pub const REQUIRED_ON_TARGET_SHARE: f64 = 0.99;
 
 /// All that a node tells of itself.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -95,19 +95,19 @@
     /// Share of its requests answered within the target; 1 if there were none.
     #[must_use]
     pub fn on_target_share(&self) -> f64 {
-        share(self.on_target, self.requests)
+        compute_share(self.on_target, self.requests)
     }
 
     /// Whether the class meets its target.
     #[must_use]
     pub fn meets_target(&self) -> bool {
-        self.on_target_share() >= WANTED_SHARE
+        self.on_target_share() >= REQUIRED_ON_TARGET_SHARE
     }
 }
 
 /// A part of a whole; 1 of nothing.
 #[must_use]
-pub fn share(part: u64, whole: u64) -> f64 {
+pub fn compute_share(part: u64, whole: u64) -> f64 {
     if whole == 0 {
         return 1.0;
     }
@@ -133,7 +133,7 @@
 /// Answer to a drain or a question for health.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
-pub struct NodeCondition {
+pub struct NodeHealth {
     /// Whether clients may bring requests.
     pub ready: bool,
     /// Whether the upstream takes no new work.
@@ -155,7 +155,7 @@
 /// Lines of a node's log, oldest first.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
-pub struct LinePage {
+pub struct LogPage {
     /// The lines, JSON each.
     pub lines: Vec<String>,
     /// Number to ask for next.
@@ -177,7 +177,7 @@
 /// A request that was not served.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
-pub struct OperatorProblem {
+pub struct OperatorErrorBody {
     /// What is wrong and what to do.
     pub error: String,
 }
--- a/src/proxy/entry.rs
+++ b/src/proxy/entry.rs
@@ -67,7 +67,7 @@
             let arrived = core.timers.now();
             let mut req = req;
             ensure_request_id(&core, &mut req);
-            let digest = req.digest();
+            let digest = req.compute_fingerprint();
             let mut line = RequestLogLine::begin(&core, &req, digest);
             let end = carry_request(&core, req, digest, &mut line).await;
             count_end(&core, &end, line.class(), core.timers.now().since(arrived));
@@ -91,7 +91,7 @@
             head_timeout: started_with
                 .head_timeout
                 .max(limits.idle_timeout * IDLE_MARGIN),
-            body: limits.body_bytes.min(started_with.body),
+            max_body_bytes: limits.body_bytes.min(started_with.max_body_bytes),
             ..started_with
         }
     }
--- a/src/proxy/evacuating.rs
+++ b/src/proxy/evacuating.rs
@@ -17,7 +17,7 @@
         evacuations::{EvacuationChange, EvacuationRead, Evacuations},
         names::AvailabilityZoneName,
     },
-    transport::operators::request::EvacuationProblem,
+    transport::operators::request::EvacuationError,
 };
 use rand::seq::SliceRandom;
 use std::{
@@ -147,9 +147,9 @@
     store: &S,
     zone: &AvailabilityZoneName,
     evacuated: bool,
-) -> Result<EvacuationView, EvacuationProblem> {
+) -> Result<EvacuationView, EvacuationError> {
     if evacuated && !knows_zone(core, zone) {
-        return Err(EvacuationProblem::UnknownZone);
+        return Err(EvacuationError::UnknownZone);
     }
     let mut reason = String::new();
     for _ in 0..STORE_TRIES {
@@ -160,7 +160,7 @@
         }
         let _ = core.timers.after(STORE_PAUSE).recv_async().await;
     }
-    Err(EvacuationProblem::Store(reason))
+    Err(EvacuationError::Store(reason))
 }
 
 fn knows_zone(core: &ProxyCore, zone: &AvailabilityZoneName) -> bool {
--- a/src/proxy/executing.rs
+++ b/src/proxy/executing.rs
@@ -50,7 +50,7 @@
     hop: &HopRequest,
     req: CallerRequest,
 ) -> CompletedAttempt {
-    let digest = req.digest();
+    let digest = req.compute_fingerprint();
     let mut line = AttemptLogLine::begin(core, hop, &req, digest);
     let executed = execute_logged(core, hop, req, digest, &mut line).await;
     line.end(&executed);
--- a/src/proxy/operating.rs
+++ b/src/proxy/operating.rs
@@ -3,7 +3,7 @@
 use crate::{
     protocol::{
         operator_views::{
-            ClassStatus, LinePage, NodeCondition, NodeStatus, PeerStatus, UpstreamStatus,
+            ClassStatus, LogPage, NodeHealth, NodeStatus, PeerStatus, UpstreamStatus,
         },
         store::PublicationStore,
     },
@@ -54,7 +54,7 @@
         OperatorRequest::Health { reply } => {
             let _ = reply.send(describe_condition(&core));
         }
-        OperatorRequest::Lines { from, reply } => {
+        OperatorRequest::LogLines { from, reply } => {
             let _ = reply.send(list_lines(&core, from));
         }
         OperatorRequest::Drain { reply } => {
@@ -80,7 +80,7 @@
             let history = read_history(&store).await;
             let _ = reply.send(history.map_err(|error| error.to_string()));
         }
-        OperatorRequest::Rejected => core.log(&ProxyEvent::OperatorRejected {}),
+        OperatorRequest::Unauthorized => core.log(&ProxyEvent::OperatorRejected {}),
     }
 }
 
@@ -90,10 +90,10 @@
     }
 }
 
-fn list_lines(core: &ProxyCore, from: u64) -> LinePage {
+fn list_lines(core: &ProxyCore, from: u64) -> LogPage {
     let oldest = core.log_writer.oldest_kept();
     let (lines, next) = core.log_writer.list_kept(from);
-    LinePage {
+    LogPage {
         lines,
         next,
         dropped: oldest.saturating_sub(from.max(1)),
@@ -102,10 +102,10 @@
 
 /// Whether the node takes requests, and what its upstream has to do.
 #[must_use]
-pub fn describe_condition(core: &ProxyCore) -> NodeCondition {
+pub fn describe_condition(core: &ProxyCore) -> NodeHealth {
     let load = core.slots.load();
     let own = core.local_upstream.borrow();
-    NodeCondition {
+    NodeHealth {
         ready: core.is_ready(),
         leaving: own.current().is_some_and(|run| run.leaving),
         running: load.running,
--- a/src/proxy/start.rs
+++ b/src/proxy/start.rs
@@ -59,10 +59,10 @@
 #[must_use]
 pub fn limits() -> CallerLimits {
     CallerLimits {
-        connections: MAX_CONNECTIONS,
+        max_connections: MAX_CONNECTIONS,
         head_timeout: HEAD_TIMEOUT,
         body_timeout: BODY_TIMEOUT,
-        head: HEAD_LIMIT,
-        body: BODY_LIMIT,
+        max_head_bytes: HEAD_LIMIT,
+        max_body_bytes: BODY_LIMIT,
     }
 }
--- a/src/transport/callers.rs
+++ b/src/transport/callers.rs
@@ -32,7 +32,7 @@
 use tokio::net::{TcpListener, TcpStream};
 
 /// Connections over the limit that are still told why they are refused.
-const REFUSED_CONNECTIONS_TOLD: usize = 64;
+const MAX_REJECTED_CONNECTIONS: usize = 64;
 /// How long to wait after a failed `accept`, for instance when file descriptors have run out.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
@@ -60,7 +60,7 @@
 
     /// What it has in common with every other attempt at the same request.
     #[must_use]
-    pub fn digest(&self) -> RequestFingerprint {
+    pub fn compute_fingerprint(&self) -> RequestFingerprint {
         let target = self.uri.path_and_query().map_or("", PathAndQuery::as_str);
         RequestFingerprint::compute(self.method.as_str(), self.host(), target, &self.body)
     }
@@ -84,15 +84,15 @@
 #[derive(Clone, Copy, Debug)]
 pub struct CallerLimits {
     /// Open connections.
-    pub connections: usize,
+    pub max_connections: usize,
     /// Time a caller may take to send a request's head.
     pub head_timeout: Duration,
     /// Time a caller may take to send a request's body.
     pub body_timeout: Duration,
     /// Largest head in bytes.
-    pub head: usize,
+    pub max_head_bytes: usize,
     /// Largest body in bytes.
-    pub body: usize,
+    pub max_body_bytes: usize,
 }
 
 /// Accepts callers until the future is dropped.
@@ -146,10 +146,10 @@
 impl CallerServer {
     fn admit(self: &Rc<Self>, stream: TcpStream) {
         let open = self.open.get();
-        if open >= self.limits.connections + REFUSED_CONNECTIONS_TOLD {
+        if open >= self.limits.max_connections + MAX_REJECTED_CONNECTIONS {
             return;
         }
-        let too_many = open >= self.limits.connections;
+        let too_many = open >= self.limits.max_connections;
         let counted = OpenConnection::count(self);
         tokio::task::spawn_local(serve_connection(counted, stream, too_many));
     }
@@ -181,7 +181,7 @@
             let refused = reply_json(StatusCode::BAD_REQUEST, "conflicting lengths");
             return Err(close_after(refused));
         }
-        if count_head_bytes(&parts) > self.limits.head {
+        if count_head_bytes(&parts) > self.limits.max_head_bytes {
             let status = StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE;
             return Err(close_after(reply_json(status, "head too large")));
         }
@@ -191,7 +191,7 @@
         } else {
             let limits = self.handler.limits(self.limits);
             let timeout = self.timers.after(limits.body_timeout);
-            let read = read_body(incoming, limits.body, timeout).await;
+            let read = read_body(incoming, limits.max_body_bytes, timeout).await;
             read.map_err(refuse_body)?
         };
         Ok(CallerRequest {
@@ -247,7 +247,7 @@
         .timer(TokioTimer::new())
         .auto_date_header(false)
         .header_read_timeout(limits.head_timeout)
-        .max_buf_size(limits.head)
+        .max_buf_size(limits.max_head_bytes)
         .serve_connection(TokioIo::new(stream), service)
         .await;
     if let Err(error) = ended {
--- a/src/transport/operators/answer.rs
+++ b/src/transport/operators/answer.rs
@@ -1,6 +1,6 @@
 //! Answers of the operators' server: JSON, errors included.
 
-use crate::protocol::operator_views::OperatorProblem;
+use crate::protocol::operator_views::OperatorErrorBody;
 use rouille::Response;
 use serde::Serialize;
 use thiserror::Error;
@@ -35,13 +35,13 @@
     BodyTooLarge(usize),
     /// The event loop did not answer in time.
     #[error("the node did not answer in time")]
-    Busy,
+    Timeout,
     /// The store can't be read.
     #[error("the store can't be read: {0}")]
-    StoreAway(String),
+    StoreUnavailable(String),
     /// The store did not say that it has taken a record.
     #[error("the store has not confirmed it, ask again: {0}")]
-    NotStored(String),
+    StoreUnconfirmed(String),
     /// The event loop is gone.
     #[error("the node is stopping")]
     Stopping,
@@ -55,8 +55,8 @@
             Self::MethodNotAllowed(_) => 405,
             Self::BadParameter { .. } | Self::BadBody(_) => 400,
             Self::BodyTooLarge(_) => 413,
-            Self::Busy => 504,
-            Self::Stopping | Self::StoreAway(_) | Self::NotStored(_) => 503,
+            Self::Timeout => 504,
+            Self::Stopping | Self::StoreUnavailable(_) | Self::StoreUnconfirmed(_) => 503,
         }
     }
 }
@@ -70,7 +70,7 @@
 }
 
 fn build_problem(error: &OperatorError) -> Response {
-    let problem = OperatorProblem {
+    let problem = OperatorErrorBody {
         error: error.to_string(),
     };
     let response = Response::json(&problem).with_status_code(error.status());
--- a/src/transport/operators/client.rs
+++ b/src/transport/operators/client.rs
@@ -4,7 +4,7 @@
     coordination::publishing::{PublicationOutcome, PublicationRequest},
     options::{access::OperatorAccess, secret::Secret},
     protocol::operator_views::{
-        EvacuationView, HistoryView, LinePage, NodeCondition, NodeStatus, OperatorProblem,
+        EvacuationView, HistoryView, LogPage, NodeHealth, NodeStatus, OperatorErrorBody,
     },
 };
 use attohttpc::{ErrorKind, RequestBuilder, Response, body::Body};
@@ -19,13 +19,13 @@
 
 /// Why a node did not answer a question.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-pub enum AskError {
+pub enum OperatorClientError {
     /// No connection could be opened: the question did not reach the node.
     #[error("not reached: {0}")]
-    Unreached(String),
+    NotSent(String),
     /// The connection broke, or no answer came in time; the node may have done what it was asked.
     #[error("no answer: {0}")]
-    Cut(String),
+    NoAnswer(String),
     /// The node refused.
     #[error("refused with status {status}: {problem}")]
     Refused {
@@ -36,7 +36,7 @@
     },
     /// The answer can't be understood.
     #[error("its answer can't be understood: {0}")]
-    Unreadable(String),
+    InvalidAnswer(String),
 }
 
 /// Asks nodes with the operators' token.
@@ -58,7 +58,7 @@
     ///
     /// # Errors
     /// If the node is not reached, refuses or answers something else.
-    pub fn fetch_status(&self, node: SocketAddr) -> Result<NodeStatus, AskError> {
+    pub fn fetch_status(&self, node: SocketAddr) -> Result<NodeStatus, OperatorClientError> {
         self.send(attohttpc::get(format!("http://{node}/status")))
     }
 
@@ -66,7 +66,11 @@
     ///
     /// # Errors
     /// If the node is not reached, refuses or answers something else.
-    pub fn fetch_lines(&self, node: SocketAddr, from: u64) -> Result<LinePage, AskError> {
+    pub fn fetch_log_lines(
+        &self,
+        node: SocketAddr,
+        from: u64,
+    ) -> Result<LogPage, OperatorClientError> {
         self.send(attohttpc::get(format!("http://{node}/log")).param("from", from))
     }
 
@@ -74,7 +78,7 @@
     ///
     /// # Errors
     /// If the node is not reached, refuses or answers something else.
-    pub fn fetch_history(&self, node: SocketAddr) -> Result<HistoryView, AskError> {
+    pub fn fetch_history(&self, node: SocketAddr) -> Result<HistoryView, OperatorClientError> {
         self.send(attohttpc::get(format!("http://{node}/history")))
     }
 
@@ -86,11 +90,11 @@
         &self,
         node: SocketAddr,
         request: &PublicationRequest,
-    ) -> Result<PublicationOutcome, AskError> {
+    ) -> Result<PublicationOutcome, OperatorClientError> {
         let url = format!("http://{node}/configuration");
         let body = attohttpc::post(url)
             .json(request)
-            .map_err(|error| AskError::Unreadable(error.to_string()))?;
+            .map_err(|error| OperatorClientError::InvalidAnswer(error.to_string()))?;
         self.send(body)
     }
 
@@ -98,7 +102,7 @@
     ///
     /// # Errors
     /// If the node is not reached, refuses or answers something else.
-    pub fn start_drain(&self, node: SocketAddr) -> Result<NodeCondition, AskError> {
+    pub fn start_drain(&self, node: SocketAddr) -> Result<NodeHealth, OperatorClientError> {
         self.send(attohttpc::post(format!("http://{node}/drain")))
     }
 
@@ -111,7 +115,7 @@
         node: SocketAddr,
         zone: &str,
         evacuated: bool,
-    ) -> Result<EvacuationView, AskError> {
+    ) -> Result<EvacuationView, OperatorClientError> {
         let url = format!("http://{node}/evacuation");
         let request = if evacuated {
             attohttpc::post(url)
@@ -121,7 +125,10 @@
         self.send(request.param("zone", zone))
     }
 
-    fn send<T: DeserializeOwned, B: Body>(&self, req: RequestBuilder<B>) -> Result<T, AskError> {
+    fn send<T: DeserializeOwned, B: Body>(
+        &self,
+        req: RequestBuilder<B>,
+    ) -> Result<T, OperatorClientError> {
         let res = req
             .bearer_auth(self.token.expose())
             .connect_timeout(CONNECT_TIMEOUT)
@@ -134,28 +141,28 @@
 }
 
 /// Only a failure to connect proves that the node was not asked.
-fn sort_error(error: &attohttpc::Error) -> AskError {
+fn sort_error(error: &attohttpc::Error) -> OperatorClientError {
     let unconnected = match error.kind() {
         ErrorKind::ConnectError { .. } | ErrorKind::ConnectNotSupported => true,
         ErrorKind::Io(cause) => cause.kind() == io::ErrorKind::ConnectionRefused,
         _ => false,
     };
     if unconnected {
-        AskError::Unreached(error.to_string())
+        OperatorClientError::NotSent(error.to_string())
     } else {
-        AskError::Cut(error.to_string())
+        OperatorClientError::NoAnswer(error.to_string())
     }
 }
 
-fn read_answer<T: DeserializeOwned>(res: Response) -> Result<T, AskError> {
+fn read_answer<T: DeserializeOwned>(res: Response) -> Result<T, OperatorClientError> {
     let status = res.status();
     if status.is_success() {
         return res
             .json()
-            .map_err(|error| AskError::Unreadable(error.to_string()));
+            .map_err(|error| OperatorClientError::InvalidAnswer(error.to_string()));
     }
-    let problem: OperatorProblem = res.json().unwrap_or_default();
-    Err(AskError::Refused {
+    let problem: OperatorErrorBody = res.json().unwrap_or_default();
+    Err(OperatorClientError::Refused {
         status: status.as_u16(),
         problem: problem.error,
     })
--- a/src/transport/operators/request.rs
+++ b/src/transport/operators/request.rs
@@ -2,14 +2,14 @@
 
 use crate::{
     coordination::publishing::{PublicationOutcome, PublicationRequest},
-    protocol::operator_views::{EvacuationView, HistoryView, LinePage, NodeCondition, NodeStatus},
+    protocol::operator_views::{EvacuationView, HistoryView, LogPage, NodeHealth, NodeStatus},
     state::names::AvailabilityZoneName,
 };
 use flume::Sender;
 
 /// Why an availability zone is not evacuated.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum EvacuationProblem {
+pub enum EvacuationError {
     /// No node of the zone is known.
     UnknownZone,
     /// The store did not take the operator's word, or did not say so.
@@ -29,19 +29,19 @@
     /// Whether the node takes requests.
     Health {
         /// Takes the answer.
-        reply: Sender<NodeCondition>,
+        reply: Sender<NodeHealth>,
     },
     /// Lines of the log that the node keeps.
-    Lines {
+    LogLines {
         /// Number of the first one.
         from: u64,
         /// Takes the answer.
-        reply: Sender<LinePage>,
+        reply: Sender<LogPage>,
     },
     /// Have the upstream take no new work and finish what there is.
     Drain {
         /// Takes the answer.
-        reply: Sender<NodeCondition>,
+        reply: Sender<NodeHealth>,
     },
     /// Put a configuration in force.
     Publish {
@@ -57,7 +57,7 @@
         /// Whether it is to get no requests.
         evacuated: bool,
         /// Takes the answer.
-        reply: Sender<Result<EvacuationView, EvacuationProblem>>,
+        reply: Sender<Result<EvacuationView, EvacuationError>>,
     },
     /// The publications that are remembered.
     History {
@@ -65,5 +65,5 @@
         reply: Sender<Result<HistoryView, String>>,
     },
     /// A request without a valid token was turned away.
-    Rejected,
+    Unauthorized,
 }
--- a/src/transport/operators/server.rs
+++ b/src/transport/operators/server.rs
@@ -3,10 +3,10 @@
 use crate::{
     coordination::publishing::{PublicationOutcome, PublicationRequest},
     options::checked_file::validate_configuration,
-    protocol::operator_views::{EvacuationView, HistoryView, LinePage, NodeCondition},
+    protocol::operator_views::{EvacuationView, HistoryView, LogPage, NodeHealth},
     transport::operators::{
         answer::{OperatorError, build_response},
-        request::{EvacuationProblem, OperatorRequest},
+        request::{EvacuationError, OperatorRequest},
         token::OperatorToken,
     },
 };
@@ -100,7 +100,7 @@
     fn handle(&self, req: &Request) -> Response {
         let path = req.url();
         if let Err(error) = self.authorize(req, &path) {
-            return build_response::<NodeCondition>(&Err(error));
+            return build_response::<NodeHealth>(&Err(error));
         }
         match path.as_str() {
             "/status" => {
@@ -119,7 +119,7 @@
                 build_response(&check_method(req, "POST").and_then(|()| self.ask(ask)))
             }
             "/evacuation" => build_response(&self.evacuate(req)),
-            _ => build_response::<NodeCondition>(&Err(OperatorError::NotFound)),
+            _ => build_response::<NodeHealth>(&Err(OperatorError::NotFound)),
         }
     }
 
@@ -128,14 +128,14 @@
             return Ok(());
         }
         // The event loop records this; if it is too busy to, the caller is turned away all the same.
-        let _ = self.tx.try_send(OperatorRequest::Rejected);
+        let _ = self.tx.try_send(OperatorRequest::Unauthorized);
         Err(OperatorError::Unauthorized)
     }
 
-    fn find_lines(&self, req: &Request) -> Result<LinePage, OperatorError> {
+    fn find_lines(&self, req: &Request) -> Result<LogPage, OperatorError> {
         check_method(req, "GET")?;
         let from = read_parameter(req, "from", "the number of a line")?.unwrap_or(0);
-        self.ask(|reply| OperatorRequest::Lines { from, reply })
+        self.ask(|reply| OperatorRequest::LogLines { from, reply })
     }
 
     /// NB: checked here as well as by the tool: every node takes what the store holds.
@@ -169,8 +169,8 @@
         };
         let answer = self.ask_within(PUBLICATION_TIMEOUT, build)?;
         answer.map_err(|problem| match problem {
-            EvacuationProblem::UnknownZone => bad_zone,
-            EvacuationProblem::Store(cause) => OperatorError::NotStored(cause),
+            EvacuationError::UnknownZone => bad_zone,
+            EvacuationError::Store(cause) => OperatorError::StoreUnconfirmed(cause),
         })
     }
 
@@ -178,7 +178,7 @@
         check_method(req, "GET")?;
         let build = |reply| OperatorRequest::History { reply };
         let answer = self.ask_within(PUBLICATION_TIMEOUT, build)?;
-        answer.map_err(OperatorError::StoreAway)
+        answer.map_err(OperatorError::StoreUnavailable)
     }
 
     fn ask<T>(&self, build: impl FnOnce(Sender<T>) -> OperatorRequest) -> Result<T, OperatorError> {
@@ -194,11 +194,11 @@
         self.tx
             .send_timeout(build(reply), REPLY_TIMEOUT)
             .map_err(|error| match error {
-                flume::SendTimeoutError::Timeout(_) => OperatorError::Busy,
+                flume::SendTimeoutError::Timeout(_) => OperatorError::Timeout,
                 flume::SendTimeoutError::Disconnected(_) => OperatorError::Stopping,
             })?;
         rx.recv_timeout(limit).map_err(|error| match error {
-            RecvTimeoutError::Timeout => OperatorError::Busy,
+            RecvTimeoutError::Timeout => OperatorError::Timeout,
             RecvTimeoutError::Disconnected => OperatorError::Stopping,
         })
     }
--- a/tests/integration/operators.rs
+++ b/tests/integration/operators.rs
@@ -4,11 +4,11 @@
     coordination::publishing::{PublicationOutcome, PublicationRequest},
     options::checked_file::check_configuration,
     protocol::operator_views::{
-        EvacuationView, HistoryView, LinePage, NodeCondition, NodeStatus, OperatorProblem,
+        EvacuationView, HistoryView, LogPage, NodeHealth, NodeStatus, OperatorErrorBody,
     },
     state::configuration::ConfigurationVersion,
     transport::operators::{
-        request::{EvacuationProblem, OperatorRequest},
+        request::{EvacuationError, OperatorRequest},
         server::{OperatorServer, serve_operators},
     },
 };
@@ -26,18 +26,18 @@
 
 /// Answers one request as an event loop would.
 fn answer(request: OperatorRequest) {
-    let condition = NodeCondition {
+    let condition = NodeHealth {
         leaving: true,
-        ..NodeCondition::default()
+        ..NodeHealth::default()
     };
     match request {
         OperatorRequest::Status { reply } => {
             reply.send(NodeStatus::default()).expect("asker waits");
         }
-        OperatorRequest::Lines { from, reply } => {
-            let page = LinePage {
+        OperatorRequest::LogLines { from, reply } => {
+            let page = LogPage {
                 next: from,
-                ..LinePage::default()
+                ..LogPage::default()
             };
             reply.send(page).expect("asker waits");
         }
@@ -58,12 +58,12 @@
                 "a" => Ok(EvacuationView {
                     zones: BTreeSet::from([zone]),
                 }),
-                "away" => Err(EvacuationProblem::Store("away".to_owned())),
-                _ => Err(EvacuationProblem::UnknownZone),
+                "away" => Err(EvacuationError::Store("away".to_owned())),
+                _ => Err(EvacuationError::UnknownZone),
             };
             reply.send(answer).expect("asker waits");
         }
-        OperatorRequest::Rejected => {}
+        OperatorRequest::Unauthorized => {}
     }
 }
 
@@ -78,7 +78,7 @@
 fn send_problem<B: attohttpc::body::Body>(req: attohttpc::RequestBuilder<B>) -> (u16, String) {
     let res = req.send().expect("an answer");
     let status = res.status().as_u16();
-    let problem: OperatorProblem = res.json().expect("JSON");
+    let problem: OperatorErrorBody = res.json().expect("JSON");
     (status, problem.error)
 }
 
@@ -93,14 +93,14 @@
         .json()
         .expect("JSON");
     assert_eq!(status, NodeStatus::default());
-    let page: LinePage = get(&server, "/log?from=41")
+    let page: LogPage = get(&server, "/log?from=41")
         .bearer_auth(TOKEN)
         .send()
         .expect("an answer")
         .json()
         .expect("JSON");
     assert_eq!(page.next, 41);
-    let drained: NodeCondition = post(&server, "/drain")
+    let drained: NodeHealth = post(&server, "/drain")
         .bearer_auth(TOKEN)
         .send()
         .expect("an answer")
@@ -120,7 +120,7 @@
     assert_eq!(send_problem(get(&server, "/status")).0, 401);
     assert!(
         rx.drain()
-            .all(|request| matches!(request, OperatorRequest::Rejected))
+            .all(|request| matches!(request, OperatorRequest::Unauthorized))
     );
 }
 
