--- a/src/proxy/announcing.rs
+++ b/src/proxy/announcing.rs
@@ -108,7 +108,7 @@
         return;
     };
     set_slot_limit(core, compute_slot_limit(record.slots));
-    core.directory.borrow_mut().take_own(record.clone());
+    core.directory.borrow_mut().apply_own_record(record.clone());
     if core.stored_record.borrow().as_ref() == Some(&record) {
         return;
     }
@@ -150,7 +150,7 @@
                 .apply_announcement(announcement);
             core.slots.resume_incarnation();
             set_slot_limit(core, compute_slot_limit(record.slots));
-            core.directory.borrow_mut().take_own(record.clone());
+            core.directory.borrow_mut().apply_own_record(record.clone());
             core.log(&ProxyEvent::UpstreamRecalled {
                 instance: record.run.instance.clone(),
             });
--- a/src/proxy/core.rs
+++ b/src/proxy/core.rs
@@ -196,7 +196,7 @@
             routes: table.routes.len(),
             source: source.name(),
         };
-        let news = self.directory.borrow_mut().take_table(table);
+        let news = self.directory.borrow_mut().apply_table(table);
         if news {
             self.log(&event);
             self.table_applied.notify_one();
@@ -217,7 +217,7 @@
             leaving: stored.record.leaving,
             revision: stored.revision,
         };
-        let news = self.directory.borrow_mut().take_record(stored, source);
+        let news = self.directory.borrow_mut().apply_record(stored, source);
         if news {
             self.log(&event);
         }
--- a/src/proxy/directory.rs
+++ b/src/proxy/directory.rs
@@ -65,7 +65,7 @@
     }
 
     /// Puts a table in force unless it is older than the present one. True if it was newer.
-    pub fn take_table(&mut self, table: RoutingTable) -> bool {
+    pub fn apply_table(&mut self, table: RoutingTable) -> bool {
         self.tables.take(table)
     }
 
@@ -94,13 +94,13 @@
     }
 
     /// Forgets where the store's topic of the configuration goes on.
-    pub fn forget_stored_table(&mut self) {
+    pub fn clear_stored_table(&mut self) {
         self.stored_table = None;
     }
 
     /// Where the store's topic of the configuration goes on after what is in force here; none if that is not known.
     #[must_use]
-    pub fn stored_table_next(&self) -> Option<u64> {
+    pub fn configuration_resume_offset(&self) -> Option<u64> {
         let known = self.stored_table;
         known
             .filter(|table| table.version <= self.version())
@@ -112,7 +112,7 @@
     ///
     /// What another node tells from a part of the store that is known here, though nothing of that node is, has been
     /// dropped since. Without this check it would come back with whoever has not heard of it.
-    pub fn take_record(&mut self, stored: StoredRecord, source: StateSource) -> bool {
+    pub fn apply_record(&mut self, stored: StoredRecord, source: StateSource) -> bool {
         let is_known_part = (1..=self.read_up_to).contains(&stored.revision);
         let is_unknown = !self.nodes.contains_key(&stored.record.address);
         if source == StateSource::Peer && is_known_part && is_unknown {
@@ -152,7 +152,7 @@
     }
 
     /// Takes in what this node itself has to tell; the store gives it a revision later.
-    pub fn take_own(&mut self, record: NodeRecord) {
+    pub fn apply_own_record(&mut self, record: NodeRecord) {
         if let Some(view) = self.nodes.get_mut(&record.address) {
             view.record = record;
             // What an earlier run of the upstream refused says nothing about this one.
@@ -179,7 +179,7 @@
     }
 
     /// Forgets nodes whose records the store had up to a revision and has no longer; returns them.
-    pub fn forget_dropped(
+    pub fn remove_dropped(
         &mut self,
         up_to: u64,
         is_dropped: impl Fn(&NodeRecord) -> bool,
@@ -226,7 +226,7 @@
     }
 
     /// What a node that has `version` does not have yet, and the records of nodes if it has read none.
-    pub fn list_newer_than(
+    pub fn build_update_since(
         &mut self,
         version: ConfigurationVersion,
         has_records: bool,
--- a/src/proxy/following/configuration.rs
+++ b/src/proxy/following/configuration.rs
@@ -19,7 +19,7 @@
     pub(super) fn skip_known(&self, topic: StoreTopic) -> Option<u64> {
         match topic {
             StoreTopic::Configuration => {
-                let next = self.core.directory.borrow().stored_table_next();
+                let next = self.core.directory.borrow().configuration_resume_offset();
                 next.filter(|next| *next <= self.core.evacuations.position())
             }
             StoreTopic::Nodes => None,
@@ -29,7 +29,7 @@
     /// Forgets where the store goes on after what other nodes told: it has deleted the records from there on.
     pub(super) fn forget_place(&self, topic: StoreTopic) {
         if topic == StoreTopic::Configuration {
-            self.core.directory.borrow_mut().forget_stored_table();
+            self.core.directory.borrow_mut().clear_stored_table();
         }
     }
 
--- a/src/proxy/following/nodes.rs
+++ b/src/proxy/following/nodes.rs
@@ -100,7 +100,7 @@
     fn forget(&self, is_dropped: impl Fn(&str) -> bool, up_to: u64) {
         let core = &self.core;
         let by_key = |record: &NodeRecord| is_dropped(&self.store.get_node_key(record));
-        let forgotten = core.directory.borrow_mut().forget_dropped(up_to, by_key);
+        let forgotten = core.directory.borrow_mut().remove_dropped(up_to, by_key);
         for record in forgotten {
             core.log(&ProxyEvent::NodeForgotten {
                 known: record.name,
--- a/src/proxy/state_sharing.rs
+++ b/src/proxy/state_sharing.rs
@@ -84,7 +84,7 @@
             ..core
                 .directory
                 .borrow_mut()
-                .list_newer_than(version, has_records)
+                .build_update_since(version, has_records)
         },
         None => StateMessage::default(),
     };
--- a/tests/integration/mesh_model.rs
+++ b/tests/integration/mesh_model.rs
@@ -166,7 +166,7 @@
             if without == Without::VersionOrder {
                 directory = Directory::default();
             }
-            directory.take_table(table(*version));
+            directory.apply_table(table(*version));
             if directory.version().0 < highest {
                 return true;
             }
--- a/tests/integration/proxy_decisions.rs
+++ b/tests/integration/proxy_decisions.rs
@@ -130,9 +130,9 @@
 #[test]
 fn take_table_never_older() {
     let mut directory = Directory::default();
-    assert!(directory.take_table(table(5)));
-    assert!(!directory.take_table(table(4)));
-    assert!(!directory.take_table(table(5)));
+    assert!(directory.apply_table(table(5)));
+    assert!(!directory.apply_table(table(4)));
+    assert!(!directory.apply_table(table(5)));
     assert_eq!(directory.version().0, 5);
 }
 
@@ -145,18 +145,18 @@
         revision,
         record: record(1, "a", instance),
     };
-    assert!(directory.take_record(stored(7, "i-2"), StateSource::Store));
-    assert!(!directory.take_record(stored(3, "i-1"), StateSource::Store));
+    assert!(directory.apply_record(stored(7, "i-2"), StateSource::Store));
+    assert!(!directory.apply_record(stored(3, "i-1"), StateSource::Store));
     assert_eq!(directory.nodes[&address(1)].record.run.instance, "i-2");
 }
 
 #[test]
 fn list_newer_than_what_is_known() {
     let mut directory = Directory::default();
-    directory.take_table(table(5));
-    directory.take_own(record(1, "a", "i"));
+    directory.apply_table(table(5));
+    directory.apply_own_record(record(1, "a", "i"));
     let mut newer = |version, has_records| {
-        directory.list_newer_than(ConfigurationVersion(version), has_records)
+        directory.build_update_since(ConfigurationVersion(version), has_records)
     };
     assert_eq!(newer(5, false).change, None);
     assert!(newer(4, false).change.is_some() && newer(4, false).nodes.is_empty());
--- a/tests/integration/retiring.rs
+++ b/tests/integration/retiring.rs
@@ -181,20 +181,20 @@
 #[test]
 fn take_record_dropped_stays_dropped() {
     let mut directory = Directory::default();
-    assert!(directory.take_record(stored(1, 3), StateSource::Store));
+    assert!(directory.apply_record(stored(1, 3), StateSource::Store));
     directory.note_read(4);
-    let dropped = directory.forget_dropped(4, |known| known.address == address(1));
+    let dropped = directory.remove_dropped(4, |known| known.address == address(1));
     assert_eq!(dropped.len(), 1);
-    assert!(!directory.take_record(stored(1, 3), StateSource::Peer));
+    assert!(!directory.apply_record(stored(1, 3), StateSource::Peer));
     assert!(directory.nodes.is_empty());
-    assert!(directory.take_record(stored(1, 5), StateSource::Peer));
+    assert!(directory.apply_record(stored(1, 5), StateSource::Peer));
 }
 
 #[test]
 fn forget_dropped_keeps_what_came_later() {
     let mut directory = Directory::default();
-    directory.take_record(stored(1, 6), StateSource::Peer);
-    assert!(directory.forget_dropped(5, |_| true).is_empty());
+    directory.apply_record(stored(1, 6), StateSource::Peer);
+    assert!(directory.remove_dropped(5, |_| true).is_empty());
     assert_eq!(directory.nodes.len(), 1);
 }
 
--- a/tests/integration/retiring_model.rs
+++ b/tests/integration/retiring_model.rs
@@ -171,7 +171,7 @@
                     } else {
                         StateSource::Peer
                     };
-                    directory.take_record(self.stored(revision), source);
+                    directory.apply_record(self.stored(revision), source);
                 }
                 Step::Read(up_to) => self.read_whole(&mut directory, up_to),
             }
@@ -185,10 +185,10 @@
         let end = up_to as u64;
         match self.log[..up_to].last() {
             Some(Entry::Run(_)) => {
-                directory.take_record(self.stored(up_to), StateSource::Store);
+                directory.apply_record(self.stored(up_to), StateSource::Store);
             }
             _ => {
-                directory.forget_dropped(end, |_| true);
+                directory.remove_dropped(end, |_| true);
             }
         }
         directory.note_read(end);
--- a/tests/integration/store_copy.rs
+++ b/tests/integration/store_copy.rs
@@ -52,7 +52,7 @@
         stored(2, "i-2b", (1, 5)),
         stored(3, "i-3", (1, 6)),
     ] {
-        assert!(directory.take_record(known, StateSource::Store));
+        assert!(directory.apply_record(known, StateSource::Store));
     }
     directory.note_read(StorePosition { era: 1, offset: 7 }.pack());
     let copy = [stored(1, "i-1", (2, 0)), stored(2, "i-2a", (2, 1))];
@@ -61,11 +61,11 @@
     assert_eq!(lost, [address(2), address(3)]);
     assert_eq!(instance_of(&directory, 2), "i-2b");
     // What the nodes write again counts, also at an offset below that of the record which was lost.
-    assert!(!directory.take_record(stored(3, "i-3", (2, 2)), StateSource::Store));
-    assert!(directory.take_record(stored(2, "i-2c", (2, 3)), StateSource::Store));
+    assert!(!directory.apply_record(stored(3, "i-3", (2, 2)), StateSource::Store));
+    assert!(directory.apply_record(stored(2, "i-2c", (2, 3)), StateSource::Store));
     assert_eq!(instance_of(&directory, 2), "i-2c");
     // What another node tells of the earlier era doesn't.
-    assert!(!directory.take_record(stored(2, "i-2b", (1, 90)), StateSource::Peer));
+    assert!(!directory.apply_record(stored(2, "i-2b", (1, 90)), StateSource::Peer));
     assert_eq!(instance_of(&directory, 2), "i-2c");
 }
 
--- a/tests/integration/table_spreading/calls.rs
+++ b/tests/integration/table_spreading/calls.rs
@@ -193,7 +193,7 @@
                     self.calls[again].is_again = true;
                     return;
                 }
-            } else if self.take_table(node, version) {
+            } else if self.apply_table(node, version) {
                 self.look_at_zone(node, false);
             }
         }
--- a/tests/integration/table_spreading/mesh.rs
+++ b/tests/integration/table_spreading/mesh.rs
@@ -294,7 +294,7 @@
         }
     }
 
-    pub fn take_table(&mut self, node: usize, version: ConfigurationVersion) -> bool {
+    pub fn apply_table(&mut self, node: usize, version: ConfigurationVersion) -> bool {
         let now = self.timeline.now();
         let node = &mut self.nodes[node];
         if version <= node.own {
@@ -354,7 +354,7 @@
 
     /// A reader reads a version and offers it to those of its zone that may lack it.
     pub fn read(&mut self, node: usize, version: ConfigurationVersion) {
-        if self.nodes[node].is_dark() || !self.take_table(node, version) {
+        if self.nodes[node].is_dark() || !self.apply_table(node, version) {
             return;
         }
         self.look_at_zone(node, true);
