--- a/src/proxy/announcing.rs
+++ b/src/proxy/announcing.rs
@@ -151,7 +151,7 @@
             core.slots.resume_incarnation();
             set_slot_limit(core, compute_slot_limit(record.slots));
             core.directory.borrow_mut().apply_own_record(record.clone());
-            core.log(&ProxyEvent::UpstreamRecalled {
+            core.log(&ProxyEvent::UpstreamRestored {
                 instance: record.run.instance.clone(),
             });
         }
--- a/src/proxy/entry/request_log_line.rs
+++ b/src/proxy/entry/request_log_line.rs
@@ -5,7 +5,7 @@
         client_reply::RequestOutcome,
         core::ProxyCore,
         entry::request_attempts::RequestAttempts,
-        events::{LoggedEnd, ProxyEvent, Weight, in_millis},
+        events::{EventPriority, LoggedEnd, ProxyEvent, in_millis},
     },
     state::{
         names::{ClassName, ServiceName},
@@ -83,18 +83,20 @@
         let now = self.core.timers.now();
         let took = now.since(self.arrived);
         // The attempts of a request are as telling as its end.
-        let weight = end.weight_of_request(took > self.target);
+        let weight = end.priority_of_request(took > self.target);
         let attempts = self.attempts.take_lines();
         let soonest = attempts.iter().filter_map(ProxyEvent::refused_finish).min();
         for attempt in attempts {
             // Refused questions are most of the lines on a day of high load; the soonest end tells most of
             // what they do.
             let told = if attempt.refused_finish().is_some() {
-                Weight::Ordinary
+                EventPriority::Ordinary
             } else {
                 weight
             };
-            self.core.log_writer.write_as(told, &attempt, now);
+            self.core
+                .log_writer
+                .write_with_priority(told, &attempt, now);
         }
         self.core.log(&ProxyEvent::RequestEnded {
             request: std::mem::take(&mut self.request),
--- a/src/proxy/entry/request_router.rs
+++ b/src/proxy/entry/request_router.rs
@@ -169,7 +169,7 @@
             self.paid = self.paid.saturating_add(1);
             increment(&self.core.counters.retries);
         } else {
-            self.core.log(&ProxyEvent::RepeatWithheld {
+            self.core.log(&ProxyEvent::RetrySuppressed {
                 request: self.core.read_request_id(&self.call.req.headers),
                 service: self.call.service.clone(),
             });
--- a/src/proxy/evacuating.rs
+++ b/src/proxy/evacuating.rs
@@ -127,7 +127,7 @@
         }
     }
     for zone in ended {
-        core.log(&ProxyEvent::ZoneTakenBack {
+        core.log(&ProxyEvent::ZoneRestored {
             zone,
             position,
             source,
--- a/src/proxy/events.rs
+++ b/src/proxy/events.rs
@@ -26,13 +26,13 @@
 
 /// How much an event matters when not all lines can be written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Weight {
+pub enum EventPriority {
     /// A request that went as it should.
     Ordinary,
     /// A request that was answered late. On a day of high load there are many.
     Late,
     /// A failure, a refusal, or a change of what the node believes.
-    Telling,
+    Important,
 }
 
 /// How a request or an attempt ended.
@@ -141,7 +141,7 @@
         took_ms: u64,
     },
     /// A second attempt is not made for lack of budget.
-    RepeatWithheld {
+    RetrySuppressed {
         /// Identity of the request.
         request: String,
         /// Its service.
@@ -162,7 +162,7 @@
         leaving: bool,
     },
     /// The upstream beside the node is cold.
-    UpstreamCold {
+    UpstreamWarmingUp {
         /// How much longer.
         left_ms: u64,
         /// Most requests that it is given within a second meanwhile.
@@ -211,7 +211,7 @@
         digest: RequestFingerprint,
     },
     /// After a restart the upstream is known from the store.
-    UpstreamRecalled {
+    UpstreamRestored {
         /// Its run.
         instance: String,
     },
@@ -232,7 +232,7 @@
         source: &'static str,
     },
     /// Requests are sent to the upstreams of an evacuated availability zone again.
-    ZoneTakenBack {
+    ZoneRestored {
         /// The zone.
         zone: AvailabilityZoneName,
         /// Position in the store's topic as of which this holds.
@@ -270,7 +270,7 @@
         directly: usize,
     },
     /// Another node asked for what is newer and is told.
-    TableTold {
+    TableSent {
         /// The node, if it said where it is.
         to: Option<SocketAddr>,
         /// Version that it has.
@@ -310,7 +310,7 @@
         took_ms: u64,
     },
     /// The zone is told what was read from the store.
-    ZoneTold {
+    ZoneNotified {
         /// Nodes told.
         nodes: usize,
         /// Records of nodes among it.
@@ -405,7 +405,7 @@
         failures: u32,
     },
     /// The store has come back from a copy: what was written since the copy is lost.
-    StoreReturned {
+    StoreRestored {
         /// The topic in which it was noticed.
         what: &'static str,
         /// The era that it tells.
--- a/src/proxy/events/catalogue.rs
+++ b/src/proxy/events/catalogue.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     protocol::outcome::RefusalReason,
-    proxy::events::{LoggedEnd, ProxyEvent, Weight},
+    proxy::events::{EventPriority, LoggedEnd, ProxyEvent},
 };
 
 impl ProxyEvent {
@@ -13,7 +13,7 @@
             Self::RequestEnded { .. } => (801, "request_ended"),
             Self::AttemptReturned { .. } => (802, "attempt_returned"),
             Self::AttemptExecuted { .. } => (803, "attempt_executed"),
-            Self::RepeatWithheld { .. } => (804, "repeat_withheld"),
+            Self::RetrySuppressed { .. } => (804, "repeat_withheld"),
             Self::LinesDropped { .. } => (805, "lines_dropped"),
             Self::CrashCounted { .. } => (806, "crash_counted"),
             Self::RequestQuarantined { .. } => (807, "request_quarantined"),
@@ -21,18 +21,18 @@
             Self::UpstreamAnnounced { .. } => (811, "upstream_announced"),
             Self::UpstreamDeparted { .. } => (812, "upstream_departed"),
             Self::UpstreamReplaced { .. } => (813, "upstream_replaced"),
-            Self::UpstreamRecalled { .. } => (814, "upstream_recalled"),
+            Self::UpstreamRestored { .. } => (814, "upstream_recalled"),
             Self::AnnouncementRejected { .. } => (815, "announcement_rejected"),
             Self::UpstreamCrashed { .. } => (816, "upstream_crashed"),
-            Self::UpstreamCold { .. } => (817, "upstream_cold"),
+            Self::UpstreamWarmingUp { .. } => (817, "upstream_cold"),
             Self::TableInForce { .. } => (821, "table_in_force"),
             Self::StateFetched { .. } => (826, "state_fetched"),
             Self::TableOffered { .. } => (820, "table_offered"),
-            Self::TableTold { .. } => (827, "table_told"),
+            Self::TableSent { .. } => (827, "table_told"),
             Self::TableReceived { .. } => (828, "table_received"),
             Self::FetchFailed { .. } => (829, "fetch_failed"),
             Self::ChangeRejected { .. } => (830, "change_rejected"),
-            Self::ZoneTold { .. } => (823, "zone_told"),
+            Self::ZoneNotified { .. } => (823, "zone_told"),
             Self::StateRejected { .. } => (824, "state_rejected"),
             Self::ReadingHandedOver { .. } => (825, "reading_handed_over"),
             Self::NodeUnreachable { .. } => (831, "node_unreachable"),
@@ -41,14 +41,14 @@
             Self::NodeForgotten { .. } => (834, "node_forgotten"),
             Self::OwnRecordDropped {} => (835, "own_record_dropped"),
             Self::ZoneEvacuated { .. } => (836, "zone_evacuated"),
-            Self::ZoneTakenBack { .. } => (837, "zone_taken_back"),
+            Self::ZoneRestored { .. } => (837, "zone_taken_back"),
             Self::ConfigurationRejected { .. } => (841, "configuration_rejected"),
             Self::RecordRejected { .. } => (842, "record_rejected"),
             Self::PublicationEnded { .. } => (845, "publication_ended"),
             Self::OperatorRejected {} => (846, "operator_rejected"),
             Self::StoreLost { .. } => (843, "store_lost"),
             Self::StoreRegained { .. } => (844, "store_regained"),
-            Self::StoreReturned { .. } => (847, "store_returned"),
+            Self::StoreRestored { .. } => (847, "store_returned"),
             Self::NodeStarted { .. } => (851, "node_started"),
             Self::StopRequested { .. } => (852, "stop_requested"),
             Self::NodeStopped { .. } => (853, "node_stopped"),
@@ -59,17 +59,17 @@
 
     /// How much it matters.
     #[must_use]
-    pub const fn weight(&self) -> Weight {
+    pub const fn priority(&self) -> EventPriority {
         match self {
             Self::RequestEnded {
                 end,
                 took_ms,
                 target_ms,
                 ..
-            } => end.weight_of_request(*took_ms > *target_ms),
-            Self::AttemptReturned { end, .. } | Self::AttemptExecuted { end, .. } => end.weight(),
-            Self::RepeatWithheld { .. } => Weight::Ordinary,
-            _ => Weight::Telling,
+            } => end.priority_of_request(*took_ms > *target_ms),
+            Self::AttemptReturned { end, .. } | Self::AttemptExecuted { end, .. } => end.priority(),
+            Self::RetrySuppressed { .. } => EventPriority::Ordinary,
+            _ => EventPriority::Important,
         }
     }
 
@@ -94,7 +94,7 @@
             | Self::AttemptReturned { request, .. }
             | Self::AttemptExecuted { request, .. }
             | Self::UpstreamCrashed { request, .. }
-            | Self::RepeatWithheld { request, .. } => Some(request),
+            | Self::RetrySuppressed { request, .. } => Some(request),
             _ => None,
         }
     }
@@ -104,22 +104,22 @@
     /// How much the end tells. A refusal for lack of slots is how nodes look for a free one: nothing
     /// failed yet.
     #[must_use]
-    pub const fn weight(&self) -> Weight {
+    pub const fn priority(&self) -> EventPriority {
         match self {
-            Self::Answered(status) if *status < 500 => Weight::Ordinary,
-            Self::Refused(RefusalReason::QueueFull) | Self::Abandoned => Weight::Ordinary,
-            _ => Weight::Telling,
+            Self::Answered(status) if *status < 500 => EventPriority::Ordinary,
+            Self::Refused(RefusalReason::QueueFull) | Self::Abandoned => EventPriority::Ordinary,
+            _ => EventPriority::Important,
         }
     }
 
     /// The same for the end of a whole request: a refusal ends it unserved, whatever the reason.
     #[must_use]
-    pub const fn weight_of_request(&self, late: bool) -> Weight {
+    pub const fn priority_of_request(&self, late: bool) -> EventPriority {
         match self {
-            Self::Answered(status) if *status < 500 && late => Weight::Late,
-            Self::Answered(status) if *status < 500 => Weight::Ordinary,
-            Self::ClientLeft | Self::NoRoute => Weight::Ordinary,
-            _ => Weight::Telling,
+            Self::Answered(status) if *status < 500 && late => EventPriority::Late,
+            Self::Answered(status) if *status < 500 => EventPriority::Ordinary,
+            Self::ClientLeft | Self::NoRoute => EventPriority::Ordinary,
+            _ => EventPriority::Important,
         }
     }
 }
--- a/src/proxy/events/lines.rs
+++ b/src/proxy/events/lines.rs
@@ -5,7 +5,7 @@
 
 use crate::{
     options::proxy_settings::LineRules,
-    proxy::events::{ProxyEvent, Weight},
+    proxy::events::{EventPriority, ProxyEvent},
     state::{names::NodeName, rate_limit::RateLimit, timestamp::Timestamp},
 };
 use serde::Serialize;
@@ -20,7 +20,7 @@
     time::{FormatTime, SystemTime},
 };
 
-/// Telling lines a second, and how many may come at once. A line costs some 45 microseconds with its write; so
+/// Important lines a second, and how many may come at once. A line costs some 45 microseconds with its write; so
 /// many are under a thousandth of a core.
 const TELLING: (f64, f64) = (15.0, 150.0);
 /// The same of ordinary ones: a sample, since a line costs a fifth of what a node spends on a request.
@@ -68,41 +68,45 @@
 
     /// Writes a line if the bounds hold it.
     pub fn write(&self, event: &ProxyEvent, now: Timestamp) {
-        self.write_as(event.weight(), event, now);
+        self.write_with_priority(event.priority(), event, now);
     }
 
     /// Writes a line with another weight than its own: what led to a failure tells as much as the
-    /// failure. Telling lines left out are counted, and told with the next one.
-    pub fn write_as(&self, weight: Weight, event: &ProxyEvent, now: Timestamp) {
-        if !self.is_sampled(weight, event) {
+    /// failure. Important lines left out are counted, and told with the next one.
+    pub fn write_with_priority(&self, priority: EventPriority, event: &ProxyEvent, now: Timestamp) {
+        if !self.is_sampled(priority, event) {
             return;
         }
-        if !self.take(weight, now) {
-            if weight != Weight::Ordinary {
+        if !self.admit(priority, now) {
+            if priority != EventPriority::Ordinary {
                 self.dropped.set(self.dropped.get() + 1);
             }
             return;
         }
         let lines = self.dropped.take();
         if lines > 0 {
-            self.emit(Weight::Telling, &ProxyEvent::LinesDropped { lines }, now);
+            self.emit(
+                EventPriority::Important,
+                &ProxyEvent::LinesDropped { lines },
+                now,
+            );
         }
-        self.emit(weight, event, now);
+        self.emit(priority, event, now);
     }
 
     /// Takes one line out of the bounds, if they hold it.
-    pub fn take(&self, weight: Weight, now: Timestamp) -> bool {
-        match weight {
-            Weight::Telling | Weight::Late => self.telling.borrow_mut().take(now),
-            Weight::Ordinary => self.ordinary.borrow_mut().take(now),
+    pub fn admit(&self, priority: EventPriority, now: Timestamp) -> bool {
+        match priority {
+            EventPriority::Important | EventPriority::Late => self.telling.borrow_mut().take(now),
+            EventPriority::Ordinary => self.ordinary.borrow_mut().take(now),
         }
     }
 
-    fn is_sampled(&self, weight: Weight, event: &ProxyEvent) -> bool {
-        let one_in = match weight {
-            Weight::Telling => 1,
-            Weight::Late => self.rules.one_in_late(),
-            Weight::Ordinary => self.rules.one_in,
+    fn is_sampled(&self, priority: EventPriority, event: &ProxyEvent) -> bool {
+        let one_in = match priority {
+            EventPriority::Important => 1,
+            EventPriority::Late => self.rules.one_in_late(),
+            EventPriority::Ordinary => self.rules.one_in,
         };
         event.request().is_none_or(|request| {
             let mut hasher = DefaultHasher::new();
@@ -129,7 +133,7 @@
         kept.front().map_or(self.next.get(), |(number, _)| *number)
     }
 
-    fn emit(&self, weight: Weight, event: &ProxyEvent, now: Timestamp) {
+    fn emit(&self, priority: EventPriority, event: &ProxyEvent, now: Timestamp) {
         let (number, name) = event.describe();
         let seq = self.next.get();
         self.next.set(seq + 1);
@@ -144,14 +148,16 @@
             event,
         };
         let fields = serde_json::to_string(&line).unwrap_or_default();
-        let level = match weight {
-            Weight::Ordinary => Level::INFO,
-            Weight::Late | Weight::Telling => Level::WARN,
+        let level = match priority {
+            EventPriority::Ordinary => Level::INFO,
+            EventPriority::Late | EventPriority::Important => Level::WARN,
         };
         self.keep(seq, level, (number, name), &fields);
-        match weight {
-            Weight::Ordinary => tracing::info!(event = number, name, fields),
-            Weight::Late | Weight::Telling => tracing::warn!(event = number, name, fields),
+        match priority {
+            EventPriority::Ordinary => tracing::info!(event = number, name, fields),
+            EventPriority::Late | EventPriority::Important => {
+                tracing::warn!(event = number, name, fields)
+            }
         }
     }
 
--- a/src/proxy/executing/warmup.rs
+++ b/src/proxy/executing/warmup.rs
@@ -32,7 +32,7 @@
     queue.note_cold_time(told, now);
     drop(queue);
     if !was_cold {
-        core.log(&ProxyEvent::UpstreamCold {
+        core.log(&ProxyEvent::UpstreamWarmingUp {
             left_ms: in_millis(left),
             limit,
         });
--- a/src/proxy/following.rs
+++ b/src/proxy/following.rs
@@ -144,7 +144,7 @@
             if core.timers.now().since(since) >= plan.pause.mul_f64(spread) {
                 let reason = match plan.role {
                     _ if is_failing => CallReason::Retry,
-                    ReadingRole::Other => CallReason::MakingSure,
+                    ReadingRole::Other => CallReason::GapCheck,
                     ReadingRole::First | ReadingRole::Second => CallReason::Reading,
                 };
                 return (plan.wait, reason);
@@ -196,7 +196,7 @@
         let now = core.timers.now();
         let read = self.copy_reads.note_read(records.next, whole, now);
         if read == TopicRead::Copy {
-            core.log(&ProxyEvent::StoreReturned {
+            core.log(&ProxyEvent::StoreRestored {
                 what: name_topic(topic),
                 era: StorePosition::unpack(records.next).era,
                 before: StorePosition::unpack(before).era,
--- a/src/proxy/state_sharing.rs
+++ b/src/proxy/state_sharing.rs
@@ -35,7 +35,7 @@
     // The other reader of the zone tells it too; with another order the loss of a node that passes on
     // is made up for.
     receivers.shuffle(&mut rand::rng());
-    core.log(&ProxyEvent::ZoneTold {
+    core.log(&ProxyEvent::ZoneNotified {
         nodes: receivers.len(),
         records: records.len(),
     });
@@ -102,7 +102,7 @@
     }
     let body = serde_json::to_vec(&answer).unwrap_or_default();
     if let (Some(change), Some(before)) = (&answer.change, wanted) {
-        core.log(&ProxyEvent::TableTold {
+        core.log(&ProxyEvent::TableSent {
             to: from,
             before: before.0,
             version: change.version.0,
--- a/src/proxy/store_calls.rs
+++ b/src/proxy/store_calls.rs
@@ -24,7 +24,7 @@
     /// The node reads for its zone.
     Reading,
     /// The node hears from readers, and makes sure that it misses nothing.
-    MakingSure,
+    GapCheck,
     /// The last call of this kind failed.
     Retry,
     /// The record of this node has changed.
@@ -55,7 +55,7 @@
         match self {
             Self::Start => "start",
             Self::Reading => "reading",
-            Self::MakingSure => "making_sure",
+            Self::GapCheck => "making_sure",
             Self::Retry => "retry",
             Self::OwnRecord => "own_record",
             Self::Quarantine => "quarantine",
--- a/tests/integration/proxy_decisions.rs
+++ b/tests/integration/proxy_decisions.rs
@@ -12,7 +12,7 @@
     protocol::store::StoreTopic,
     proxy::{
         directory::{Directory, StateSource},
-        events::{LineWriter, ProxyEvent, Weight},
+        events::{EventPriority, LineWriter, ProxyEvent},
     },
     state::{
         configuration::ConfigurationVersion,
@@ -373,10 +373,10 @@
     let lines = LineWriter::new("n1".into(), KEEP_ALL, Timestamp(1));
     let now = Timestamp(1);
     let ordinary = (0..1_000)
-        .filter(|_| lines.take(Weight::Ordinary, now))
+        .filter(|_| lines.admit(EventPriority::Ordinary, now))
         .count();
     let telling = (0..1_000)
-        .filter(|_| lines.take(Weight::Telling, now))
+        .filter(|_| lines.admit(EventPriority::Important, now))
         .count();
     assert_eq!((ordinary, telling), (20, 150));
 }
@@ -387,7 +387,7 @@
 };
 
 fn withheld(request: &str) -> ProxyEvent {
-    ProxyEvent::RepeatWithheld {
+    ProxyEvent::RetrySuppressed {
         request: request.to_owned(),
         service: "desk".into(),
     }
