--- a/src/local_mesh/node.rs
+++ b/src/local_mesh/node.rs
@@ -9,7 +9,7 @@
         CONFIGURATION_APPLY, HeaderNames, LineRules, NodeBounds, ProxySettings,
     },
     proxy::{
-        ProxyListeners, announcing::take_announcement, core::ProxyCore, follow_store,
+        ProxyListeners, announcing::apply_announcement, core::ProxyCore, follow_store,
         operating::answer_operators, run_proxy,
     },
     state::{incarnation_id::IncarnationId, names::NodeName},
@@ -253,7 +253,7 @@
         sequence: 1,
     };
     let announced = core.clone();
-    spawn_local(async move { take_announcement(&announced, announcement, &records).await });
+    spawn_local(async move { apply_announcement(&announced, announcement, &records).await });
     let operators = server.address;
     let running = spawn_local(async move {
         run_proxy(&core, listeners, &stopped).await;
--- a/src/proxy/announcing.rs
+++ b/src/proxy/announcing.rs
@@ -21,7 +21,7 @@
 
 /// A record to be kept in the store, and where to say that it is.
 #[derive(Debug)]
-pub struct RecordOrder {
+pub struct RecordWrite {
     /// The record of this node.
     pub record: NodeRecord,
     /// Gets a message once the store has it.
@@ -29,10 +29,10 @@
 }
 
 /// Takes in an announcement; returns once it may be acknowledged.
-pub async fn take_announcement(
+pub async fn apply_announcement(
     core: &Rc<ProxyCore>,
     announcement: Announcement,
-    store: &Sender<RecordOrder>,
+    store: &Sender<RecordWrite>,
 ) {
     let instance = announcement.run.instance.clone();
     let leaving = announcement.leaving;
@@ -40,13 +40,16 @@
     if is_contradicted(core, &announcement).await {
         return;
     }
-    let before = identify_own(core);
+    let before = find_own_identity(core);
     let (service, warmup_left) = (announcement.service.clone(), announcement.warmup_left);
     let effect = core
         .local_upstream
         .borrow_mut()
         .apply_announcement(announcement);
-    if effect == AnnouncementEffect::Changed && before.is_some() && before != identify_own(core) {
+    if effect == AnnouncementEffect::Changed
+        && before.is_some()
+        && before != find_own_identity(core)
+    {
         core.slots.reset_incarnation_state();
     }
     if effect != AnnouncementEffect::Stale {
@@ -81,7 +84,7 @@
 
 /// The present run of the upstream beside this node.
 #[must_use]
-pub fn identify_own(core: &ProxyCore) -> Option<IncarnationId> {
+pub fn find_own_identity(core: &ProxyCore) -> Option<IncarnationId> {
     core.local_upstream
         .borrow()
         .current()
@@ -89,10 +92,10 @@
 }
 
 /// Takes in that a run of the upstream leaves; returns once it may be acknowledged.
-pub async fn take_departure(
+pub async fn apply_departure(
     core: &Rc<ProxyCore>,
     run: &IncarnationId,
-    store: &Sender<RecordOrder>,
+    store: &Sender<RecordWrite>,
 ) {
     let news = core.local_upstream.borrow_mut().record_departure(run);
     if news {
@@ -103,8 +106,8 @@
     }
 }
 
-async fn take_change(core: &Rc<ProxyCore>, store: &Sender<RecordOrder>) {
-    let Some(record) = describe_own(core) else {
+async fn take_change(core: &Rc<ProxyCore>, store: &Sender<RecordWrite>) {
+    let Some(record) = build_own_record(core) else {
         return;
     };
     set_slot_limit(core, compute_slot_limit(record.slots));
@@ -113,7 +116,7 @@
         return;
     }
     let (done, recorded) = flume::bounded(1);
-    if store.send(RecordOrder { record, done }).is_err() {
+    if store.send(RecordWrite { record, done }).is_err() {
         return;
     }
     let patience = core.timers.after(STORE_PATIENCE);
@@ -128,7 +131,7 @@
 /// After a restart the upstream is known from it before it announces itself again, which it does
 /// only every second or two. It must confirm its identity and that it does not leave: it may have been
 /// told to the earlier run that it leaves while the store was away.
-pub async fn take_stored(core: &Rc<ProxyCore>, record: NodeRecord) {
+pub async fn apply_stored_record(core: &Rc<ProxyCore>, record: NodeRecord) {
     let unknown = core.local_upstream.borrow().current().is_none();
     let unchanged = core.stored_record.replace(Some(record.clone())).as_ref() == Some(&record);
     if record.leaving {
@@ -160,7 +163,7 @@
 
 /// The record of this node, if its upstream has announced itself.
 #[must_use]
-pub fn describe_own(core: &ProxyCore) -> Option<NodeRecord> {
+pub fn build_own_record(core: &ProxyCore) -> Option<NodeRecord> {
     let own = core.local_upstream.borrow();
     let run = own.current()?;
     Some(NodeRecord {
--- a/src/proxy/crash_detection.rs
+++ b/src/proxy/crash_detection.rs
@@ -10,7 +10,7 @@
         core::{ProxyCore, increment},
         events::ProxyEvent,
         executing::has_incarnation_ended,
-        state_messages::{send_state, spread},
+        state_messages::{send_along_tree, send_state},
     },
     state::{
         ablation::Mechanism,
@@ -204,7 +204,7 @@
         finding: Some(Rc::new(finding)),
         ..StateMessage::default()
     };
-    spread(core, receivers, &message);
+    send_along_tree(core, receivers, &message);
 }
 
 /// Drops an expired quarantine from the store. Otherwise a node that starts later would begin it anew.
--- a/src/proxy/evacuating.rs
+++ b/src/proxy/evacuating.rs
@@ -11,7 +11,7 @@
         directory::StateSource,
         events::ProxyEvent,
         executing::refuse_queued_requests,
-        state_messages::{ask_state, spread},
+        state_messages::{exchange_state, send_along_tree},
     },
     state::{
         evacuations::{EvacuationChange, EvacuationRead, Evacuations},
@@ -82,7 +82,7 @@
 }
 
 /// Applies changes read from the store.
-pub fn take_read_evacuations(
+pub fn apply_stored_evacuations(
     core: &Rc<ProxyCore>,
     changes: &[EvacuationChange],
     next: u64,
@@ -94,7 +94,7 @@
 }
 
 /// Applies the state of another node if it is newer.
-pub fn take_told_evacuations(core: &Rc<ProxyCore>, told: &Evacuations) {
+pub fn apply_peer_evacuations(core: &Rc<ProxyCore>, told: &Evacuations) {
     let before = core.evacuations.evacuations.borrow().clone();
     let mut after = before.clone();
     if after.replace_by(told) {
@@ -142,7 +142,7 @@
 ///
 /// # Errors
 /// If the zone to be evacuated has no known node, or the store does not confirm the record.
-pub async fn order_evacuation<S: PublicationStore>(
+pub async fn request_evacuation<S: PublicationStore>(
     core: &ProxyCore,
     store: &S,
     zone: &AvailabilityZoneName,
@@ -188,11 +188,11 @@
     let mut receivers = core.list_zone_nodes();
     // Both readers of the zone send it; different trees compensate for the loss of a forwarding node.
     receivers.shuffle(&mut rand::rng());
-    spread(core, &receivers, &build_message(core));
+    send_along_tree(core, &receivers, &build_message(core));
 }
 
 /// Sends the state to the successor in the ring of the zone until it confirms the last change.
-pub fn check_neighbours(core: &Rc<ProxyCore>) {
+pub fn check_successors(core: &Rc<ProxyCore>) {
     let in_force = &core.evacuations;
     let changed_at = in_force.evacuations.borrow().changed_at();
     let ring: Vec<RingNode> = core.list_ring(|address| in_force.is_known_at(address));
@@ -207,7 +207,7 @@
 }
 
 async fn tell_directly(core: &ProxyCore, to: SocketAddr) {
-    let answer = ask_state(core, to, &build_message(core)).await;
+    let answer = exchange_state(core, to, &build_message(core)).await;
     let position = answer.and_then(|(answer, _)| answer.evacuations_position);
     if let Some(position) = position {
         core.evacuations.note_position(to, position);
--- a/src/proxy/following.rs
+++ b/src/proxy/following.rs
@@ -7,7 +7,7 @@
 mod starting;
 mod writing;
 
-pub use returning::note_own_record_lost;
+pub use returning::request_own_record_rewrite;
 
 use self::{
     retries::Retries,
@@ -19,11 +19,11 @@
     coordination::store_reading::ReadingRole,
     protocol::store::{KeyedRecord, RecordBatch, StateStore, StoreError, StoreTopic},
     proxy::{
-        announcing::{RecordOrder, describe_own},
+        announcing::{RecordWrite, build_own_record},
         core::ProxyCore,
         events::ProxyEvent,
-        retiring::retire_gone_nodes,
-        state_sharing::hand_reading_over,
+        retiring::retire_lost_nodes,
+        state_sharing::delegate_store_reading,
         store_calls::{CallReason, StoreCall},
         table_offering::keep_zone_current,
     },
@@ -49,7 +49,7 @@
 
 /// Keeps the node up to date with the store and the store with the node, until dropped. Records to be
 /// stored go to the sender that is returned.
-pub fn follow_store<S: StateStore>(core: &Rc<ProxyCore>, store: S) -> Sender<RecordOrder> {
+pub fn follow_store<S: StateStore>(core: &Rc<ProxyCore>, store: S) -> Sender<RecordWrite> {
     let (orders, written) = flume::unbounded();
     for topic in [StoreTopic::Configuration, StoreTopic::Nodes] {
         let follower = Follower {
@@ -63,7 +63,7 @@
         spawn_local(follower.follow(topic));
     }
     spawn_local(write_own_when_lost(Rc::clone(core), orders.clone()));
-    spawn_local(retire_gone_nodes(Rc::clone(core), store.clone()));
+    spawn_local(retire_lost_nodes(Rc::clone(core), store.clone()));
     spawn_local(keep_zone_current(Rc::clone(core)));
     spawn_local(write_quarantines(Rc::clone(core), store.clone()));
     spawn_local(write_records(Rc::clone(core), store, written));
@@ -74,7 +74,7 @@
 struct Follower<S> {
     core: Rc<ProxyCore>,
     store: S,
-    orders: Sender<RecordOrder>,
+    orders: Sender<RecordWrite>,
     /// Whether this node was a reader of its zone when it last looked.
     reads: Cell<bool>,
     /// Places of records that were found to be of another writer, so that each is told of once.
@@ -119,7 +119,7 @@
                     next = next.or(self.skip_known(topic));
                     urgent = next.is_none().then_some(CallReason::Retry);
                     if retries.is_to_be_handed_over() && core.is_zone_reader() {
-                        hand_reading_over(core);
+                        delegate_store_reading(core);
                     }
                     retries.fail(&error).await;
                 }
@@ -223,15 +223,15 @@
 }
 
 /// Writes the record of this node, which the store has dropped or lost.
-fn write_own_again(core: &ProxyCore, orders: &Sender<RecordOrder>) {
+fn write_own_again(core: &ProxyCore, orders: &Sender<RecordWrite>) {
     core.stored_record.replace(None);
     core.log(&ProxyEvent::OwnRecordDropped {});
-    let Some(record) = describe_own(core) else {
+    let Some(record) = build_own_record(core) else {
         return;
     };
     let (done, _) = flume::bounded(1);
     // The receiver goes only with the node.
-    let _ = orders.send(RecordOrder { record, done });
+    let _ = orders.send(RecordWrite { record, done });
 }
 
 const fn name_topic(topic: StoreTopic) -> &'static str {
--- a/src/proxy/following/configuration.rs
+++ b/src/proxy/following/configuration.rs
@@ -9,7 +9,7 @@
         hop::StoredTable,
         store::{RecordBatch, StateStore, StoreTopic},
     },
-    proxy::{directory::StateSource, evacuating::take_read_evacuations, events::ProxyEvent},
+    proxy::{directory::StateSource, evacuating::apply_stored_evacuations, events::ProxyEvent},
     state::evacuations::{EvacuationChange, EvacuationRead},
 };
 
@@ -42,7 +42,7 @@
             TopicRead::All | TopicRead::Copy => EvacuationRead::All,
             TopicRead::AllWrittenAgain => EvacuationRead::AllWrittenAgain,
         };
-        take_read_evacuations(core, &changes, records.next, evacuation_read);
+        apply_stored_evacuations(core, &changes, records.next, evacuation_read);
         for record in &records.records {
             match self.store.decode_table(record) {
                 Some(Ok(table)) => {
--- a/src/proxy/following/nodes.rs
+++ b/src/proxy/following/nodes.rs
@@ -9,7 +9,7 @@
 use crate::{
     protocol::store::{KeyedRecord, RecordBatch, StateStore, parse_quarantine_key},
     proxy::{
-        announcing::take_stored,
+        announcing::apply_stored_record,
         core::ProxyCore,
         crash_detection::{apply_stored_quarantine, propagate_quarantine_to_zone},
         directory::StateSource,
@@ -74,7 +74,7 @@
         share_with_zone(core, news);
         if let Some(own) = own {
             wait_for_routes(core).await;
-            take_stored(core, own.record).await;
+            apply_stored_record(core, own.record).await;
         }
     }
 
--- a/src/proxy/following/returning.rs
+++ b/src/proxy/following/returning.rs
@@ -7,11 +7,11 @@
         store::{KeyedRecord, parse_quarantine_key},
     },
     proxy::{
-        announcing::{RecordOrder, describe_own, take_stored},
+        announcing::{RecordWrite, apply_stored_record, build_own_record},
         core::ProxyCore,
         crash_detection::write_lost_quarantines,
         directory::StateSource,
-        state_messages::spread,
+        state_messages::send_along_tree,
     },
     state::{
         placement_view::{NodeRecord, StoredRecord},
@@ -92,7 +92,7 @@
         sender: Some(core.settings.peers),
         ..StateMessage::default()
     };
-    spread(core, &core.list_zone_nodes(), &message);
+    send_along_tree(core, &core.list_zone_nodes(), &message);
 }
 
 /// Requests that records of nodes hold in quarantine.
@@ -126,13 +126,13 @@
     core.mark_node_records_read();
     write_lost_quarantines(core, quarantined);
     ask_to_write_again(core, &lost, era);
-    match (describe_own(core), own_stored) {
+    match (build_own_record(core), own_stored) {
         (Some(known), stored) if stored.as_ref() != Some(&known) => {
-            note_own_record_lost(core, era);
+            request_own_record_rewrite(core, era);
         }
         (None, Some(stored)) => {
             wait_for_routes(core).await;
-            take_stored(core, stored).await;
+            apply_stored_record(core, stored).await;
         }
         _ => {}
     }
@@ -152,11 +152,11 @@
         lost_in_epoch: Some(era),
         ..StateMessage::default()
     };
-    spread(core, &asked, &message);
+    send_along_tree(core, &asked, &message);
 }
 
 /// Has the record of this node written again, once for each era in which the store has lost it.
-pub fn note_own_record_lost(core: &ProxyCore, era: u64) {
+pub fn request_own_record_rewrite(core: &ProxyCore, era: u64) {
     if era > core.record_lost_in_epoch.get() {
         core.record_lost_in_epoch.set(era);
         core.own_record_lost.notify_one();
@@ -164,7 +164,7 @@
 }
 
 /// Writes the record of this node again whenever the store has lost it, until dropped.
-pub(super) async fn write_own_when_lost(core: Rc<ProxyCore>, orders: Sender<RecordOrder>) {
+pub(super) async fn write_own_when_lost(core: Rc<ProxyCore>, orders: Sender<RecordWrite>) {
     loop {
         core.own_record_lost.notified().await;
         let pause = WRITE_SPREAD.mul_f64(rand::rng().random_range(0.0..1.0));
--- a/src/proxy/following/writing.rs
+++ b/src/proxy/following/writing.rs
@@ -4,7 +4,7 @@
 use crate::{
     protocol::store::{StateStore, StoreError},
     proxy::{
-        announcing::RecordOrder,
+        announcing::RecordWrite,
         core::ProxyCore,
         crash_detection::find_quarantine,
         store_calls::{CallReason, StoreCall},
@@ -18,7 +18,7 @@
 pub(super) async fn write_records<S: StateStore>(
     core: Rc<ProxyCore>,
     store: S,
-    orders: Receiver<RecordOrder>,
+    orders: Receiver<RecordWrite>,
 ) {
     let mut retries = Retries::new(&core, "records");
     while let Ok(mut order) = orders.recv_async().await {
--- a/src/proxy/operating.rs
+++ b/src/proxy/operating.rs
@@ -8,10 +8,10 @@
         store::PublicationStore,
     },
     proxy::{
-        announcing::{RecordOrder, identify_own, take_departure},
+        announcing::{RecordWrite, apply_departure, find_own_identity},
         core::ProxyCore,
         directory::Directory,
-        evacuating::order_evacuation,
+        evacuating::request_evacuation,
         events::{ProxyEvent, in_millis},
         publishing::{publish, read_history},
     },
@@ -26,7 +26,7 @@
 pub async fn answer_operators<S: PublicationStore>(
     core: Rc<ProxyCore>,
     store: S,
-    orders: Sender<RecordOrder>,
+    orders: Sender<RecordWrite>,
     requests: Receiver<OperatorRequest>,
 ) {
     while let Ok(request) = requests.recv_async().await {
@@ -44,7 +44,7 @@
 async fn answer<S: PublicationStore>(
     core: Rc<ProxyCore>,
     store: S,
-    orders: Sender<RecordOrder>,
+    orders: Sender<RecordWrite>,
     request: OperatorRequest,
 ) {
     match request {
@@ -74,7 +74,7 @@
             evacuated,
             reply,
         } => {
-            let _ = reply.send(order_evacuation(&core, &store, &zone, evacuated).await);
+            let _ = reply.send(request_evacuation(&core, &store, &zone, evacuated).await);
         }
         OperatorRequest::History { reply } => {
             let history = read_history(&store).await;
@@ -84,9 +84,9 @@
     }
 }
 
-async fn drain(core: &Rc<ProxyCore>, orders: &Sender<RecordOrder>) {
-    if let Some(run) = identify_own(core) {
-        take_departure(core, &run, orders).await;
+async fn drain(core: &Rc<ProxyCore>, orders: &Sender<RecordWrite>) {
+    if let Some(run) = find_own_identity(core) {
+        apply_departure(core, &run, orders).await;
     }
 }
 
--- a/src/proxy/peer_requests.rs
+++ b/src/proxy/peer_requests.rs
@@ -11,8 +11,8 @@
     proxy::{
         core::ProxyCore,
         executing::{CompletedAttempt, execute},
-        state_sharing::answer_state,
-        table_fetching::note_version_of,
+        state_sharing::answer_state_message,
+        table_fetching::note_peer_version,
     },
     state::ablation::Mechanism,
     transport::{
@@ -65,7 +65,7 @@
         .as_ref()
         .and_then(|value| HopAnswer::decode(value.to_str().ok()?))
         .ok_or(SendError::BadAnswer)?;
-    note_version_of(core, to, answer.version);
+    note_peer_version(core, to, answer.version);
     let response = (answer.outcome == AttemptOutcome::Answered).then_some(response);
     Ok(CompletedAttempt { answer, response })
 }
@@ -104,7 +104,7 @@
         let core = Rc::clone(&self.core);
         Box::pin(async move {
             if req.headers.contains_key(STATE_HEADER) {
-                return answer_state(&core, &req.body).await;
+                return answer_state_message(&core, &req.body).await;
             }
             answer_hop(&core, req).await
         })
@@ -123,7 +123,7 @@
     let Some(hop) = hop else {
         return reply_json(StatusCode::BAD_REQUEST, "not a message between nodes");
     };
-    note_version_of(core, hop.sender, hop.version);
+    note_peer_version(core, hop.sender, hop.version);
     let executed = execute(core, &hop, req).await;
     let mut reply = match executed.response {
         Some(response) => pass_on(response),
--- a/src/proxy/retiring.rs
+++ b/src/proxy/retiring.rs
@@ -11,7 +11,7 @@
     proxy::{
         core::ProxyCore,
         events::ProxyEvent,
-        state_messages::ask_state,
+        state_messages::exchange_state,
         store_calls::{CallReason, StoreCall},
     },
     state::placement_view::NodeView,
@@ -26,7 +26,7 @@
 const ASK_PREDECESSOR: Duration = Duration::from_mins(1);
 
 /// Watches the records for as long as this node is the one to do so, until dropped.
-pub async fn retire_gone_nodes<S: StateStore>(core: Rc<ProxyCore>, store: S) {
+pub async fn retire_lost_nodes<S: StateStore>(core: Rc<ProxyCore>, store: S) {
     let mut watch = RetirementWatch::default();
     let mut asked = core.timers.now();
     loop {
@@ -55,7 +55,7 @@
     let Some(before) = core.find_predecessor() else {
         return;
     };
-    let reached = is_reached(core, before).await;
+    let reached = is_reachable(core, before).await;
     let now = core.timers.now();
     if let Some(view) = core.directory.borrow_mut().nodes.get_mut(&before) {
         if reached {
@@ -90,7 +90,7 @@
 
 async fn ask_due(core: &Rc<ProxyCore>, watch: &mut RetirementWatch) {
     let due = watch.take_due(watch.share_of(STEP), core.timers.now());
-    let asked = due.iter().map(|to| is_reached(core, *to));
+    let asked = due.iter().map(|to| is_reachable(core, *to));
     let reached = join_all(asked).await;
     let now = core.timers.now();
     for (address, reached) in due.into_iter().zip(reached) {
@@ -101,8 +101,8 @@
 }
 
 /// Whether a node answers this one.
-pub async fn is_reached(core: &Rc<ProxyCore>, to: SocketAddr) -> bool {
-    ask_state(core, to, &StateMessage::default())
+pub async fn is_reachable(core: &Rc<ProxyCore>, to: SocketAddr) -> bool {
+    exchange_state(core, to, &StateMessage::default())
         .await
         .is_some()
 }
@@ -132,7 +132,7 @@
     };
     let asked = witnesses.into_iter().take(WITNESSES).map(|to| {
         let message = &message;
-        async move { ask_state(core, to, message).await?.0.peer_reachable }
+        async move { exchange_state(core, to, message).await?.0.peer_reachable }
     });
     weigh_testimony(&join_all(asked).await)
 }
--- a/src/proxy/state_messages.rs
+++ b/src/proxy/state_messages.rs
@@ -34,7 +34,7 @@
 const TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Sends a message to a few of the receivers, which pass it on to the rest.
-pub fn spread(core: &Rc<ProxyCore>, receivers: &[SocketAddr], message: &StateMessage) {
+pub fn send_along_tree(core: &Rc<ProxyCore>, receivers: &[SocketAddr], message: &StateMessage) {
     for part in split_receivers(receivers) {
         let core = Rc::clone(core);
         let message = message.clone();
@@ -65,14 +65,14 @@
 }
 
 /// Sends a message and returns what the other node answers, if it does, with its bytes.
-pub async fn ask_state(
+pub async fn exchange_state(
     core: &ProxyCore,
     to: SocketAddr,
     message: &StateMessage,
 ) -> Option<(StateMessage, usize)> {
     let answer = send_state(core, to, message).await?;
     let body = answer.body();
-    count_bytes(core, body.len());
+    count_state_bytes(core, body.len());
     if body.is_empty() {
         return Some((StateMessage::default(), 0));
     }
@@ -86,7 +86,7 @@
 }
 
 /// Counts the bytes of a message from another node.
-pub fn count_bytes(core: &ProxyCore, bytes: usize) {
+pub fn count_state_bytes(core: &ProxyCore, bytes: usize) {
     let counter = &core.counters.state_bytes;
     let added = u64::try_from(bytes).unwrap_or(u64::MAX);
     counter.set(counter.get().saturating_add(added));
--- a/src/proxy/state_sharing.rs
+++ b/src/proxy/state_sharing.rs
@@ -7,12 +7,12 @@
         core::ProxyCore,
         crash_detection::apply_finding,
         directory::StateSource,
-        evacuating::take_told_evacuations,
+        evacuating::apply_peer_evacuations,
         events::ProxyEvent,
-        following::note_own_record_lost,
-        retiring::is_reached,
-        state_messages::{count_bytes, log_malformed, send_state, spread},
-        table_fetching::take_offer,
+        following::request_own_record_rewrite,
+        retiring::is_reachable,
+        state_messages::{count_state_bytes, log_malformed, send_along_tree, send_state},
+        table_fetching::accept_offer,
     },
     state::placement_view::StoredRecord,
     transport::callers::{CallerReply, reply_json},
@@ -43,12 +43,12 @@
         nodes: records,
         ..StateMessage::default()
     };
-    spread(core, &receivers, &message);
+    send_along_tree(core, &receivers, &message);
 }
 
 /// Has a few other nodes of the zone read the store for a while. The store may turn away both nodes that read for
 /// a zone and no others; the rest of the zone would not hear of a change in time.
-pub fn hand_reading_over(core: &Rc<ProxyCore>) {
+pub fn delegate_store_reading(core: &Rc<ProxyCore>) {
     let mut zone = core.list_zone_nodes();
     zone.shuffle(&mut rand::rng());
     zone.truncate(STAND_INS);
@@ -64,7 +64,7 @@
 }
 
 /// Takes in a message of another node, passes it on as told, and answers what is asked in it.
-pub async fn answer_state(core: &Rc<ProxyCore>, body: &[u8]) -> CallerReply {
+pub async fn answer_state_message(core: &Rc<ProxyCore>, body: &[u8]) -> CallerReply {
     let message: StateMessage = match serde_json::from_slice(body) {
         Ok(message) => message,
         Err(error) => {
@@ -72,7 +72,7 @@
             return reply_json(StatusCode::BAD_REQUEST, "malformed state");
         }
     };
-    count_bytes(core, body.len());
+    count_state_bytes(core, body.len());
     let (wanted, reaches, from) = (message.changes_since, message.check_peer, message.sender);
     let has_records = message.has_records;
     let is_offer = message.offered_version.is_some();
@@ -95,7 +95,7 @@
         answer.offered_version = Some(core.directory.borrow().version());
     }
     if let Some(suspect) = reaches {
-        answer.peer_reachable = Some(is_reached(core, suspect).await);
+        answer.peer_reachable = Some(is_reachable(core, suspect).await);
     }
     if answer == StateMessage::default() {
         return Response::new(Full::default());
@@ -114,7 +114,7 @@
 
 fn take_message(core: &Rc<ProxyCore>, mut message: StateMessage) {
     if let Some(era) = message.lost_in_epoch {
-        note_own_record_lost(core, era);
+        request_own_record_rewrite(core, era);
     }
     if message.read_store {
         core.become_substitute_reader();
@@ -126,10 +126,10 @@
             version,
             forward_to,
         };
-        take_offer(core, offer);
+        accept_offer(core, offer);
         return;
     }
-    spread(core, &forward_to, &message);
+    send_along_tree(core, &forward_to, &message);
     if let Some(table) = message.stored_table {
         core.directory.borrow_mut().note_stored_table(table);
     }
@@ -137,7 +137,7 @@
         if let Some(from) = message.sender {
             core.evacuations.note_position(from, evacuations.position());
         }
-        take_told_evacuations(core, evacuations);
+        apply_peer_evacuations(core, evacuations);
     }
     if let Some(finding) = &message.finding {
         apply_finding(core, finding);
--- a/src/proxy/table_fetching.rs
+++ b/src/proxy/table_fetching.rs
@@ -10,10 +10,10 @@
     proxy::{
         core::{ProxyCore, increment},
         directory::StateSource,
-        evacuating::take_told_evacuations,
+        evacuating::apply_peer_evacuations,
         events::{ProxyEvent, in_millis},
-        state_messages::ask_state,
-        table_offering::{offer_table, pass_on},
+        state_messages::exchange_state,
+        table_offering::{forward_offer, offer_table},
     },
     state::{configuration::ConfigurationVersion, table_change::ChangeError, timestamp::Timestamp},
 };
@@ -21,7 +21,7 @@
 use tokio::task::spawn_local;
 
 /// Takes in the version that stood on a request or an answer of another node.
-pub fn note_version_of(core: &Rc<ProxyCore>, from: SocketAddr, version: ConfigurationVersion) {
+pub fn note_peer_version(core: &Rc<ProxyCore>, from: SocketAddr, version: ConfigurationVersion) {
     let (own, now) = note_report(core, from, version);
     let is_news = core
         .table_sources
@@ -33,7 +33,7 @@
 }
 
 /// Takes in a version that another node offers.
-pub fn take_offer(core: &Rc<ProxyCore>, offer: TableOffer) {
+pub fn accept_offer(core: &Rc<ProxyCore>, offer: TableOffer) {
     note_report(core, offer.from, offer.version);
     core.table_sources.borrow_mut().record_offer(offer);
     // Wakes only who waits now: an offer that is asked about already must not end a question that comes later.
@@ -97,7 +97,7 @@
         if offer.version <= own {
             offer_table(core, &offer.forward_to);
         } else {
-            pass_on(core, &offer);
+            forward_offer(core, &offer);
         }
     }
 }
@@ -150,7 +150,7 @@
         ..StateMessage::default()
     };
     let asked = core.timers.now();
-    let answer = ask_state(core, from, &message).await;
+    let answer = exchange_state(core, from, &message).await;
     let took_ms = in_millis(core.timers.now().since(asked));
     let Some((answer, bytes)) = answer else {
         core.log(&ProxyEvent::FetchFailed { from, took_ms });
@@ -158,7 +158,7 @@
     };
     note_received(core, from, &answer, bytes, took_ms);
     if let Some(evacuations) = &answer.evacuations {
-        take_told_evacuations(core, evacuations);
+        apply_peer_evacuations(core, evacuations);
     }
     take_fetched(core, answer)
 }
--- a/src/proxy/table_offering.rs
+++ b/src/proxy/table_offering.rs
@@ -7,7 +7,7 @@
         core::ProxyCore,
         evacuating,
         events::ProxyEvent,
-        state_messages::{ask_state, spread},
+        state_messages::{exchange_state, send_along_tree},
     },
     state::configuration::ConfigurationVersion,
 };
@@ -27,8 +27,8 @@
         let due = core.timers.after(LOOK_PAUSE);
         tokio::select! {
             _ = due.recv_async() => {
-                check_neighbours(&core);
-                evacuating::check_neighbours(&core);
+                check_successors(&core);
+                evacuating::check_successors(&core);
             }
             () = core.table_applied.notified() => {}
         }
@@ -55,7 +55,7 @@
     offer_table(core, &receivers);
 }
 
-fn check_neighbours(core: &Rc<ProxyCore>) {
+fn check_successors(core: &Rc<ProxyCore>) {
     let version = core.directory.borrow().version();
     let ring = core.list_ring(|address| core.directory.borrow().has_version(address));
     let now = core.timers.now();
@@ -83,7 +83,7 @@
         sender: Some(core.settings.peers),
         ..StateMessage::default()
     };
-    let answer = ask_state(core, to, &message).await;
+    let answer = exchange_state(core, to, &message).await;
     if let Some(has) = answer.and_then(|(answer, _)| answer.offered_version) {
         core.directory.borrow_mut().note_version(to, has);
     }
@@ -96,15 +96,15 @@
         version: core.directory.borrow().version(),
         forward_to: receivers.to_vec(),
     };
-    pass_on(core, &offer);
+    forward_offer(core, &offer);
 }
 
 /// Passes an offer on as it came.
-pub fn pass_on(core: &Rc<ProxyCore>, offer: &TableOffer) {
+pub fn forward_offer(core: &Rc<ProxyCore>, offer: &TableOffer) {
     let message = StateMessage {
         offered_version: Some(offer.version),
         sender: Some(offer.from),
         ..StateMessage::default()
     };
-    spread(core, &offer.forward_to, &message);
+    send_along_tree(core, &offer.forward_to, &message);
 }
--- a/tests/integration/table_spreading/calls.rs
+++ b/tests/integration/table_spreading/calls.rs
@@ -115,7 +115,7 @@
                 let (Some(version), Some(from)) = (message.offered_version, message.sender) else {
                     unreachable!("an offer tells version and node");
                 };
-                self.take_offer(
+                self.accept_offer(
                     to,
                     TableOffer {
                         from,
@@ -128,7 +128,7 @@
             Purpose::DirectOffer(version) => {
                 let from = address(self.calls[number].from);
                 let forward_to = Vec::new();
-                self.take_offer(
+                self.accept_offer(
                     to,
                     TableOffer {
                         from,
--- a/tests/integration/table_spreading/glue.rs
+++ b/tests/integration/table_spreading/glue.rs
@@ -87,7 +87,7 @@
         }
     }
 
-    pub fn take_offer(&mut self, node: usize, offer: TableOffer) {
+    pub fn accept_offer(&mut self, node: usize, offer: TableOffer) {
         let from = node_at(offer.from);
         self.nodes[node].known.insert(from, offer.version);
         self.nodes[node].sources.record_offer(offer);
@@ -100,7 +100,7 @@
         self.start_fetching(node);
     }
 
-    pub fn note_version_of(&mut self, node: usize, from: usize, version: ConfigurationVersion) {
+    pub fn note_peer_version(&mut self, node: usize, from: usize, version: ConfigurationVersion) {
         let now = self.timeline.now();
         let known = &mut self.nodes[node];
         if known.is_dark() {
--- a/tests/integration/table_spreading/mesh.rs
+++ b/tests/integration/table_spreading/mesh.rs
@@ -283,14 +283,14 @@
             }
             Event::LookAtZone(node, due) => {
                 if self.nodes[node].looks_at == due {
-                    self.check_neighbours(node);
+                    self.check_successors(node);
                     self.look_at_zone(node, false);
                 }
             }
             Event::Read(node, version) => self.read(node, version),
             Event::Lost(node) => self.darken(node, Dark::Unreachable),
             Event::Request(node) => self.request(node),
-            Event::Heard(node, from, version) => self.note_version_of(node, from, version),
+            Event::Heard(node, from, version) => self.note_peer_version(node, from, version),
         }
     }
 
@@ -335,7 +335,7 @@
     }
 
     /// A node asks the ones after it in the ring of its zone that aren't known to have the version in force, as is due.
-    pub fn check_neighbours(&mut self, node: usize) {
+    pub fn check_successors(&mut self, node: usize) {
         if self.nodes[node].is_dark() {
             return;
         }
