--- a/src/local_mesh/node.rs
+++ b/src/local_mesh/node.rs
@@ -9,8 +9,8 @@
         CONFIGURATION_APPLY, HeaderNames, LineRules, NodeBounds, ProxySettings,
     },
     proxy::{
-        ProxyListeners, announcing::apply_announcement, core::ProxyCore, follow_store,
-        operating::answer_operators, run_proxy,
+        ProxyListeners, core::ProxyCore, operator_requests::answer_operators, run_proxy,
+        start_store_sync, upstream_announcements::apply_announcement,
     },
     state::{incarnation_id::IncarnationId, names::NodeName},
     timers::TimerService,
@@ -234,7 +234,7 @@
     let settings = describe_node(&plan, &listeners, &upstream, server.address)?;
     let (clients, upstream_address) = (settings.clients, settings.upstream);
     let core = ProxyCore::new(settings, timers.clone());
-    let records = follow_store(&core, store.clone());
+    let records = start_store_sync(&core, store.clone());
     spawn_local(answer_operators(
         core.clone(),
         store,
--- a/src/proxy.rs
+++ b/src/proxy.rs
@@ -3,7 +3,6 @@
 //!
 //! All state lives on one event-loop thread. `docs/design/platform.md` tells the way of a request.
 
-pub mod announcing;
 mod client_reply;
 pub mod core;
 mod crash_detection;
@@ -12,10 +11,9 @@
 pub mod evacuating;
 pub mod events;
 mod executing;
-mod following;
 mod graceful_stop;
 pub mod metrics;
-pub mod operating;
+pub mod operator_requests;
 mod peer_requests;
 mod publishing;
 mod retiring;
@@ -24,10 +22,12 @@
 mod state_messages;
 mod state_sharing;
 pub mod store_calls;
+mod store_sync;
 mod table_fetching;
 mod table_offering;
+pub mod upstream_announcements;
 
 pub use self::{
-    following::follow_store,
     start::{ProxyListeners, run_proxy},
+    store_sync::start_store_sync,
 };
--- a/src/proxy/operating.rs
+++ b/src/proxy/operator_requests.rs
@@ -8,12 +8,12 @@
         store::PublicationStore,
     },
     proxy::{
-        announcing::{RecordWrite, apply_departure, find_own_identity},
         core::ProxyCore,
         directory::Directory,
         evacuating::request_evacuation,
         events::{ProxyEvent, in_millis},
         publishing::{publish, read_history},
+        upstream_announcements::{RecordWrite, apply_departure, find_own_identity},
     },
     state::{class_counts::ClassCounts, names::ClassName},
     transport::operators::request::OperatorRequest,
--- a/src/proxy/following.rs
+++ b/src/proxy/store_sync.rs
@@ -2,30 +2,30 @@
 
 mod configuration;
 mod nodes;
+mod restored_store;
 mod retries;
-mod returning;
-mod starting;
-mod writing;
+mod startup;
+mod store_writes;
 
-pub use returning::request_own_record_rewrite;
+pub use restored_store::request_own_record_rewrite;
 
 use self::{
+    restored_store::{CopyReads, TopicRead, write_own_when_lost},
     retries::Retries,
-    returning::{CopyReads, TopicRead, write_own_when_lost},
-    starting::{wait_for_first_records, wait_for_first_table, wait_to_read_records},
-    writing::{write_quarantines, write_records},
+    startup::{wait_for_first_records, wait_for_first_table, wait_to_read_records},
+    store_writes::{write_quarantines, write_records},
 };
 use crate::{
     coordination::store_reading::ReadingRole,
     protocol::store::{KeyedRecord, RecordBatch, StateStore, StoreError, StoreTopic},
     proxy::{
-        announcing::{RecordWrite, build_own_record},
         core::ProxyCore,
         events::ProxyEvent,
         retiring::retire_lost_nodes,
         state_sharing::delegate_store_reading,
         store_calls::{CallReason, StoreCall},
         table_offering::keep_zone_current,
+        upstream_announcements::{RecordWrite, build_own_record},
     },
     state::store_position::StorePosition,
 };
@@ -49,10 +49,10 @@
 
 /// Keeps the node up to date with the store and the store with the node, until dropped. Records to be
 /// stored go to the sender that is returned.
-pub fn follow_store<S: StateStore>(core: &Rc<ProxyCore>, store: S) -> Sender<RecordWrite> {
+pub fn start_store_sync<S: StateStore>(core: &Rc<ProxyCore>, store: S) -> Sender<RecordWrite> {
     let (orders, written) = flume::unbounded();
     for topic in [StoreTopic::Configuration, StoreTopic::Nodes] {
-        let follower = Follower {
+        let follower = TopicSync {
             core: Rc::clone(core),
             store: store.clone(),
             orders: orders.clone(),
@@ -71,7 +71,7 @@
 }
 
 /// What following a topic needs.
-struct Follower<S> {
+struct TopicSync<S> {
     core: Rc<ProxyCore>,
     store: S,
     orders: Sender<RecordWrite>,
@@ -82,7 +82,7 @@
     copy_reads: CopyReads,
 }
 
-impl<S: StateStore> Follower<S> {
+impl<S: StateStore> TopicSync<S> {
     /// Follows a topic until dropped, and tells the zone what is new.
     async fn follow(self, topic: StoreTopic) {
         let core = &self.core;
--- a/src/proxy/following/configuration.rs
+++ b/src/proxy/store_sync/configuration.rs
@@ -1,8 +1,8 @@
 //! Applies the topic of the configuration: tables and evacuations.
 
 use super::{
-    Follower,
-    returning::{TopicRead, tell_zone_of_copy},
+    TopicSync,
+    restored_store::{TopicRead, tell_zone_of_copy},
 };
 use crate::{
     protocol::{
@@ -13,7 +13,7 @@
     state::evacuations::{EvacuationChange, EvacuationRead},
 };
 
-impl<S: StateStore> Follower<S> {
+impl<S: StateStore> TopicSync<S> {
     /// Where the store goes on after what other nodes told. A configuration is not read again: it may be a megabyte, which
     /// takes a link of 10 Mbit/s a second. Evacuations stand in the same topic: without them nothing is skipped.
     pub(super) fn skip_known(&self, topic: StoreTopic) -> Option<u64> {
--- a/src/proxy/following/nodes.rs
+++ b/src/proxy/store_sync/nodes.rs
@@ -1,20 +1,20 @@
 //! Applies the topic of the nodes: their records, and requests in quarantine.
 
 use super::{
-    Follower,
-    returning::{list_quarantined, take_copy},
-    starting::wait_for_routes,
+    TopicSync,
+    restored_store::{list_quarantined, take_copy},
+    startup::wait_for_routes,
     write_own_again,
 };
 use crate::{
     protocol::store::{KeyedRecord, RecordBatch, StateStore, parse_quarantine_key},
     proxy::{
-        announcing::apply_stored_record,
         core::ProxyCore,
         crash_detection::{apply_stored_quarantine, propagate_quarantine_to_zone},
         directory::StateSource,
         events::ProxyEvent,
         state_sharing::share_with_zone,
+        upstream_announcements::apply_stored_record,
     },
     state::{
         placement_view::{NodeRecord, StoredRecord},
@@ -23,7 +23,7 @@
 };
 use std::collections::HashSet;
 
-impl<S: StateStore> Follower<S> {
+impl<S: StateStore> TopicSync<S> {
     pub(super) async fn take_copy_of_nodes(&self, records: &RecordBatch) {
         let copy = records.records.iter();
         let copy: Vec<StoredRecord> = copy
--- a/src/proxy/following/returning.rs
+++ b/src/proxy/store_sync/restored_store.rs
@@ -1,17 +1,17 @@
 //! What following a topic does once the store has come back from a copy.
 
-use super::{starting::wait_for_routes, write_own_again};
+use super::{startup::wait_for_routes, write_own_again};
 use crate::{
     protocol::{
         hop::StateMessage,
         store::{KeyedRecord, parse_quarantine_key},
     },
     proxy::{
-        announcing::{RecordWrite, apply_stored_record, build_own_record},
         core::ProxyCore,
         crash_detection::write_lost_quarantines,
         directory::StateSource,
         state_messages::send_along_tree,
+        upstream_announcements::{RecordWrite, apply_stored_record, build_own_record},
     },
     state::{
         placement_view::{NodeRecord, StoredRecord},
--- a/src/proxy/following/writing.rs
+++ b/src/proxy/store_sync/store_writes.rs
@@ -4,10 +4,10 @@
 use crate::{
     protocol::store::{StateStore, StoreError},
     proxy::{
-        announcing::RecordWrite,
         core::ProxyCore,
         crash_detection::find_quarantine,
         store_calls::{CallReason, StoreCall},
+        upstream_announcements::RecordWrite,
     },
     state::placement_view::NodeRecord,
 };
