--- a/soak/src/lib.rs
+++ b/soak/src/lib.rs
@@ -22,7 +22,7 @@
 use arguments::{Command, command};
 use camphorturn_platform::{
     arguments::Arguments,
-    daemon::{run_daemon, run_daemon_on},
+    daemon::{run_daemon, run_daemon_with_listeners},
     node::PlatformListeners,
 };
 use play::{PlayOptions, play_seed};
@@ -57,7 +57,7 @@
     let Some(port) = behind_link else {
         return run_daemon(arguments);
     };
-    run_daemon_on(arguments, async move |settings| {
+    run_daemon_with_listeners(arguments, async move |settings| {
         let mut behind = settings.clone();
         behind.proxy.peers.set_port(port);
         PlatformListeners::bind(&behind).await
