--- a/src/coordination/placement.rs
+++ b/src/coordination/placement.rs
@@ -6,8 +6,8 @@
 
 use crate::state::{
     ablation::Mechanism,
+    known_node::KnownNode,
     names::{AvailabilityZoneName, ClassName, ServiceName},
-    placement_view::NodeView,
     timestamp::Timestamp,
 };
 use std::{net::SocketAddr, time::Duration};
@@ -39,7 +39,7 @@
 /// among equal ones, so that entry nodes with the same knowledge don't ask the same node.
 #[must_use]
 pub fn order_candidates<'a>(
-    views: impl Iterator<Item = &'a NodeView> + Clone,
+    views: impl Iterator<Item = &'a KnownNode> + Clone,
     (service, class): (&ServiceName, &ClassName),
     zone: &AvailabilityZoneName,
     mut chance: impl FnMut() -> f64,
@@ -49,13 +49,13 @@
     let usual_failures = find_usual_failures(of_service);
     let mut candidates: Vec<(PlacementCandidate, f64)> = views
         .filter(|view| view.record.service == *service && !view.record.leaving)
-        .filter(|view| view.paused_until <= now)
+        .filter(|view| view.backoff_until <= now)
         .map(|view| {
             let candidate = PlacementCandidate {
                 address: view.record.address,
                 near: view.record.availability_zone == *zone,
                 cost: estimate_cost(view, usual_failures, now) * weigh_silence(view, now),
-                told_finish: view.told_finish(class, now),
+                told_finish: view.reported_completion_time(class, now),
             };
             (candidate, chance())
         })
@@ -73,7 +73,7 @@
 
 /// Requests there as a share of what runs at once, weighed by how slow the VM said it is and by what
 /// fails there beyond the usual.
-fn estimate_cost(view: &NodeView, usual_failures: u8, now: Timestamp) -> f64 {
+fn estimate_cost(view: &KnownNode, usual_failures: u8, now: Timestamp) -> f64 {
     let fresh = view
         .load
         .filter(|(_, at)| now.since(*at) < LOAD_LIFETIME)
@@ -98,7 +98,7 @@
     busy / limit * (1.0 + (slowdown - 1.0) * weight) * failing
 }
 
-fn weigh_silence(view: &NodeView, now: Timestamp) -> f64 {
+fn weigh_silence(view: &KnownNode, now: Timestamp) -> f64 {
     if Mechanism::SilenceWeighing.is_off() {
         return 1.0;
     }
@@ -109,7 +109,7 @@
 
 /// The lowest share among the nodes of a service: what fails everywhere, for instance because calls
 /// of the upstreams fail, says nothing against one of them.
-fn find_usual_failures<'a>(views: impl Iterator<Item = &'a NodeView>) -> u8 {
+fn find_usual_failures<'a>(views: impl Iterator<Item = &'a KnownNode>) -> u8 {
     let shares = views.filter_map(|view| view.load.map(|(load, _)| load.failed_percent));
     shares.min().unwrap_or(0)
 }
--- a/src/local_mesh/store.rs
+++ b/src/local_mesh/store.rs
@@ -6,7 +6,7 @@
         StateStore, StoreError, StoreTopic, quarantine_key,
     },
     state::{
-        names::AvailabilityZoneName, placement_view::NodeRecord, published::PublishedRecord,
+        known_node::NodeRecord, names::AvailabilityZoneName, published::PublishedRecord,
         request_fingerprint::RequestFingerprint, routing_table::RoutingTable,
     },
 };
--- a/src/protocol/store.rs
+++ b/src/protocol/store.rs
@@ -4,8 +4,8 @@
 //! be away, slow, or take an append and lose the answer to it.
 
 use crate::state::{
-    names::AvailabilityZoneName, placement_view::NodeRecord,
-    request_fingerprint::RequestFingerprint, routing_table::RoutingTable,
+    known_node::NodeRecord, names::AvailabilityZoneName, request_fingerprint::RequestFingerprint,
+    routing_table::RoutingTable,
 };
 use bytes::Bytes;
 use std::{future::Future, time::Duration};
--- a/src/proxy/core.rs
+++ b/src/proxy/core.rs
@@ -23,8 +23,8 @@
         class_bytes::ClassBytes,
         class_counts::ClassCounts,
         crash_suspects::CrashSuspects,
+        known_node::{NodeRecord, StoredRecord},
         names::{ClassName, ServiceName},
-        placement_view::{NodeRecord, StoredRecord},
         quarantine::Quarantine,
         request_fingerprint::RequestFingerprint,
         routing_table::{RouteIndex, RoutingTable},
@@ -213,7 +213,7 @@
             known: stored.record.name.clone(),
             address: stored.record.address,
             service: stored.record.service.clone(),
-            instance: stored.record.run.instance.clone(),
+            instance: stored.record.incarnation.instance.clone(),
             leaving: stored.record.leaving,
             revision: stored.revision,
         };
--- a/src/proxy/core/mesh_roles.rs
+++ b/src/proxy/core/mesh_roles.rs
@@ -11,7 +11,7 @@
     protocol::store::StoreTopic,
     proxy::core::ProxyCore,
     state::{
-        placement_view::{NodeRecord, NodeView},
+        known_node::{KnownNode, NodeRecord},
         timestamp::Timestamp,
     },
 };
@@ -120,6 +120,6 @@
 }
 
 /// Whether a node can be reached as far as is known.
-fn is_reachable(view: &NodeView, now: Timestamp) -> bool {
-    view.failures == 0 && view.paused_until <= now
+fn is_reachable(view: &KnownNode, now: Timestamp) -> bool {
+    view.consecutive_failures == 0 && view.backoff_until <= now
 }
--- a/src/proxy/crash_detection.rs
+++ b/src/proxy/crash_detection.rs
@@ -287,7 +287,7 @@
     let directory = core.directory.borrow();
     let mut views: Vec<_> = directory.nodes.iter().collect();
     views.shuffle(&mut rand::rng());
-    views.sort_by_key(|(_, view)| Reverse(view.failures));
+    views.sort_by_key(|(_, view)| Reverse(view.consecutive_failures));
     let addresses = views.into_iter().map(|(address, _)| *address);
     addresses
         .filter(|address| *address != core.settings.peers)
--- a/src/proxy/directory.rs
+++ b/src/proxy/directory.rs
@@ -4,7 +4,7 @@
     protocol::hop::{StateMessage, StoredTable},
     state::{
         configuration::ConfigurationVersion,
-        placement_view::{NodeRecord, NodeView, StoredRecord},
+        known_node::{KnownNode, NodeRecord, StoredRecord},
         routing_table::{RouteIndex, RoutingTable},
         table_change::{ChangeError, TableChange},
         table_history::TableHistory,
@@ -45,7 +45,7 @@
     tables: TableHistory,
     stored_table: Option<StoredTable>,
     /// By the address where they take requests from nodes.
-    pub nodes: BTreeMap<SocketAddr, NodeView>,
+    pub nodes: BTreeMap<SocketAddr, KnownNode>,
     shared: BTreeMap<SocketAddr, ConfigurationVersion>,
     /// Revision up to which the store's records of nodes are known here.
     read_up_to: u64,
@@ -128,7 +128,7 @@
             }
             _ => {
                 let address = stored.record.address;
-                self.nodes.insert(address, NodeView::new(stored));
+                self.nodes.insert(address, KnownNode::new(stored));
                 true
             }
         }
@@ -156,7 +156,7 @@
         if let Some(view) = self.nodes.get_mut(&record.address) {
             view.record = record;
             // What an earlier run of the upstream refused says nothing about this one.
-            view.note_reached();
+            view.reset_backoff();
             return;
         }
         let stored = StoredRecord {
@@ -164,7 +164,7 @@
             record,
         };
         self.nodes
-            .insert(stored.record.address, NodeView::new(stored));
+            .insert(stored.record.address, KnownNode::new(stored));
     }
 
     /// Notes that all records of nodes up to a revision have been read from the store.
@@ -184,7 +184,7 @@
         up_to: u64,
         is_dropped: impl Fn(&NodeRecord) -> bool,
     ) -> Vec<NodeRecord> {
-        let stored = |view: &NodeView| (1..=up_to).contains(&view.revision);
+        let stored = |view: &KnownNode| (1..=up_to).contains(&view.revision);
         let views = self.nodes.values();
         let dropped = views.filter(|view| stored(view) && is_dropped(&view.record));
         let dropped: Vec<NodeRecord> = dropped.map(|view| view.record.clone()).collect();
@@ -250,5 +250,5 @@
 
 /// What is known of a node's load and answers holds for one run of its upstream.
 fn is_same_run(known: &NodeRecord, told: &NodeRecord) -> bool {
-    known.run == told.run
+    known.incarnation == told.incarnation
 }
--- a/src/proxy/entry/attempt.rs
+++ b/src/proxy/entry/attempt.rs
@@ -12,7 +12,7 @@
         executing::{CompletedAttempt, execute},
         peer_requests::send_hop,
     },
-    state::{ablation::Mechanism, placement_view::NodeView, timestamp::Timestamp},
+    state::{ablation::Mechanism, known_node::KnownNode, timestamp::Timestamp},
     transport::{callers::CallerRequest, outgoing::SendError},
 };
 use std::{cell::Cell, net::SocketAddr, rc::Rc, time::Duration};
@@ -120,7 +120,7 @@
         let sent = core.timers.now();
         let mut known_age = None;
         if let Some(view) = core.directory.borrow_mut().nodes.get_mut(&to) {
-            view.note_sent(sent);
+            view.record_sent_request(sent);
             known_age = view.load.map(|(_, at)| sent.since(at));
         }
         Self {
@@ -172,7 +172,7 @@
         let Some(view) = directory.nodes.get_mut(&self.to) else {
             return;
         };
-        view.note_heard(now);
+        view.record_response(now);
         view.load = Some((executed.answer.load, now));
         if let AttemptOutcome::Refused(reason) = executed.answer.outcome {
             pause_after_refusal(view, reason, now);
@@ -189,8 +189,8 @@
         let Some(view) = directory.nodes.get_mut(&self.to) else {
             return;
         };
-        let pause = view.note_unreachable(now);
-        let failures = view.failures;
+        let pause = view.record_unreachable(now);
+        let failures = view.consecutive_failures;
         drop(directory);
         self.core.log(&ProxyEvent::NodeUnreachable {
             to: self.to,
@@ -214,9 +214,9 @@
 }
 
 /// A node whose upstream takes no work at all is left out for a while.
-fn pause_after_refusal(view: &mut NodeView, reason: RefusalReason, now: Timestamp) {
+fn pause_after_refusal(view: &mut KnownNode, reason: RefusalReason, now: Timestamp) {
     if !Mechanism::LeavingOut.is_off() && reason.is_node_wide() {
-        view.paused_until = now + REFUSAL_PAUSE;
+        view.backoff_until = now + REFUSAL_PAUSE;
     }
 }
 
@@ -231,7 +231,7 @@
         }
         let mut directory = self.core.directory.borrow_mut();
         if let Some(view) = directory.nodes.get_mut(&self.to) {
-            view.note_ended();
+            view.record_ended_request();
         }
     }
 }
--- a/src/proxy/entry/request_router/attempt_results.rs
+++ b/src/proxy/entry/request_router/attempt_results.rs
@@ -94,7 +94,7 @@
         let Some(view) = directory.nodes.get_mut(&address) else {
             return;
         };
-        view.note_refused(&self.call.route.class, finish, self.core.timers.now());
+        view.record_refusal(&self.call.route.class, finish, self.core.timers.now());
         let near = view.record.availability_zone == self.core.settings.availability_zone;
         drop(directory);
         self.search.note_offer(Offer {
--- a/src/proxy/executing/probes.rs
+++ b/src/proxy/executing/probes.rs
@@ -5,7 +5,7 @@
         core::{ProxyCore, increment},
         executing::warmup::record_warmup_header,
     },
-    state::{names::ServiceName, placement_view::NodeRecord},
+    state::{known_node::NodeRecord, names::ServiceName},
     transport::outgoing::{ConnectionReuse, SendError, SendOptions},
 };
 use bytes::Bytes;
@@ -28,7 +28,7 @@
     let Ok(answer) = send_question(core, uri, ConnectionReuse::Any).await else {
         return false;
     };
-    let same = read_instance(core, &answer).is_some_and(|told| told == record.run.instance);
+    let same = read_instance(core, &answer).is_some_and(|told| told == record.incarnation.instance);
     same && answer.status().is_success()
 }
 
--- a/src/proxy/executing/slots.rs
+++ b/src/proxy/executing/slots.rs
@@ -4,8 +4,8 @@
     coordination::slot_queue::{SlotAction, SlotNumber, SlotQueue},
     proxy::{core::ProxyCore, executing::slowdown::PaceKnowledge},
     state::{
-        ablation::Mechanism, failure_share::FailureShare, names::ClassName,
-        placement_view::NodeLoad, service_times::ServiceTimes, timestamp::Timestamp,
+        ablation::Mechanism, failure_share::FailureShare, known_node::NodeLoad, names::ClassName,
+        service_times::ServiceTimes, timestamp::Timestamp,
     },
 };
 use flume::Sender;
--- a/src/proxy/operator_requests.rs
+++ b/src/proxy/operator_requests.rs
@@ -183,7 +183,7 @@
             node: Some(view.record.name.clone()),
             operators: view.record.operators,
             leaving: view.record.leaving,
-            failures: view.failures,
+            failures: view.consecutive_failures,
         })
         .collect()
 }
--- a/src/proxy/retiring.rs
+++ b/src/proxy/retiring.rs
@@ -14,7 +14,7 @@
         state_messages::exchange_state,
         store_calls::{CallReason, StoreCall},
     },
-    state::placement_view::NodeView,
+    state::known_node::KnownNode,
 };
 use futures::future::join_all;
 use std::{net::SocketAddr, rc::Rc, time::Duration};
@@ -59,9 +59,9 @@
     let now = core.timers.now();
     if let Some(view) = core.directory.borrow_mut().nodes.get_mut(&before) {
         if reached {
-            view.note_reached();
+            view.reset_backoff();
         } else {
-            view.note_unreachable(now);
+            view.record_unreachable(now);
         }
     }
 }
@@ -80,7 +80,7 @@
     }
 }
 
-fn describe(view: &NodeView) -> WatchedRecord {
+fn describe(view: &KnownNode) -> WatchedRecord {
     WatchedRecord {
         address: view.record.address,
         availability_zone: view.record.availability_zone.clone(),
@@ -150,7 +150,7 @@
         Ok(ConditionalAppend::Stored) => core.log(&ProxyEvent::NodeRetired {
             known: record.name,
             address: suspect,
-            instance: record.run.instance,
+            instance: record.incarnation.instance,
         }),
         // Looked at again in the next step, by what the store holds then.
         Ok(ConditionalAppend::Conflict) | Err(_) => {}
--- a/src/proxy/state_sharing.rs
+++ b/src/proxy/state_sharing.rs
@@ -14,7 +14,7 @@
         store_sync::request_own_record_rewrite,
         table_fetching::accept_offer,
     },
-    state::placement_view::StoredRecord,
+    state::known_node::StoredRecord,
     transport::callers::{CallerReply, reply_json},
 };
 use bytes::Bytes;
--- a/src/proxy/store_sync/nodes.rs
+++ b/src/proxy/store_sync/nodes.rs
@@ -17,7 +17,7 @@
         upstream_announcements::apply_stored_record,
     },
     state::{
-        placement_view::{NodeRecord, StoredRecord},
+        known_node::{NodeRecord, StoredRecord},
         request_fingerprint::RequestFingerprint,
     },
 };
--- a/src/proxy/store_sync/restored_store.rs
+++ b/src/proxy/store_sync/restored_store.rs
@@ -14,7 +14,7 @@
         upstream_announcements::{RecordWrite, apply_stored_record, build_own_record},
     },
     state::{
-        placement_view::{NodeRecord, StoredRecord},
+        known_node::{NodeRecord, StoredRecord},
         request_fingerprint::RequestFingerprint,
         store_position::StorePosition,
         timestamp::Timestamp,
--- a/src/proxy/store_sync/store_writes.rs
+++ b/src/proxy/store_sync/store_writes.rs
@@ -9,7 +9,7 @@
         store_calls::{CallReason, StoreCall},
         upstream_announcements::RecordWrite,
     },
-    state::placement_view::NodeRecord,
+    state::known_node::NodeRecord,
 };
 use flume::Receiver;
 use std::rc::Rc;
--- a/src/proxy/upstream_announcements.rs
+++ b/src/proxy/upstream_announcements.rs
@@ -10,7 +10,7 @@
             verify_incarnation,
         },
     },
-    state::{incarnation_id::IncarnationId, placement_view::NodeRecord},
+    state::{incarnation_id::IncarnationId, known_node::NodeRecord},
 };
 use flume::Sender;
 use std::{rc::Rc, time::Duration};
@@ -137,10 +137,10 @@
     if record.leaving {
         core.local_upstream
             .borrow_mut()
-            .record_departure(&record.run);
+            .record_departure(&record.incarnation);
     } else if unknown && !unchanged && verify_incarnation(core, &record).await {
         let announcement = Announcement {
-            run: record.run.clone(),
+            run: record.incarnation.clone(),
             service: record.service.clone(),
             slots: record.slots,
             leaving: false,
@@ -155,7 +155,7 @@
             set_slot_limit(core, compute_slot_limit(record.slots));
             core.directory.borrow_mut().apply_own_record(record.clone());
             core.log(&ProxyEvent::UpstreamRestored {
-                instance: record.run.instance.clone(),
+                instance: record.incarnation.instance.clone(),
             });
         }
     }
@@ -171,7 +171,7 @@
         address: core.settings.peers,
         service: run.service.clone(),
         availability_zone: core.settings.availability_zone.clone(),
-        run: run.identity.clone(),
+        incarnation: run.identity.clone(),
         slots: run.slots,
         leaving: run.leaving,
         operators: core.settings.operators,
--- a/src/state/placement_view.rs
+++ b/src/state/known_node.rs
@@ -31,7 +31,7 @@
     pub availability_zone: AvailabilityZoneName,
     /// The upstream's run.
     #[serde(flatten)]
-    pub run: IncarnationId,
+    pub incarnation: IncarnationId,
     /// Requests that the upstream runs at once.
     pub slots: u16,
     /// The upstream has said that it leaves.
@@ -67,7 +67,7 @@
 
 /// What is known of one node.
 #[derive(Clone, Debug)]
-pub struct NodeView {
+pub struct KnownNode {
     /// What it told of itself.
     pub record: NodeRecord,
     /// Place of that in the order of the store.
@@ -77,16 +77,16 @@
     /// The last load told, own requests included, and when.
     pub load: Option<(NodeLoad, Timestamp)>,
     /// Not used before; set when the node could not be reached or refused for longer.
-    pub paused_until: Timestamp,
+    pub backoff_until: Timestamp,
     /// Failures to reach it in a row.
-    pub failures: u32,
+    pub consecutive_failures: u32,
     /// When the oldest request was sent there since which nothing was heard of it; none if nothing is awaited.
     pub silent_since: Option<Timestamp>,
     /// When the node last had no slot for a class, and in which time a request would have ended there.
     refusals: HashMap<ClassName, (Timestamp, Duration)>,
 }
 
-impl NodeView {
+impl KnownNode {
     /// Nothing known but the record.
     #[must_use]
     pub fn new(stored: StoredRecord) -> Self {
@@ -95,21 +95,21 @@
             revision: stored.revision,
             outstanding: 0,
             load: None,
-            paused_until: Timestamp::default(),
-            failures: 0,
+            backoff_until: Timestamp::default(),
+            consecutive_failures: 0,
             silent_since: None,
             refusals: HashMap::new(),
         }
     }
 
     /// Notes that the node had no slot at once for a request of a class, which would have ended there in `finish`.
-    pub fn note_refused(&mut self, class: &ClassName, finish: Duration, now: Timestamp) {
+    pub fn record_refusal(&mut self, class: &ClassName, finish: Duration, now: Timestamp) {
         self.refusals.insert(class.clone(), (now, finish));
     }
 
     /// Time in which a request of a class would end there, if it is known from a refusal that still holds.
     #[must_use]
-    pub fn told_finish(&self, class: &ClassName, now: Timestamp) -> Option<Duration> {
+    pub fn reported_completion_time(&self, class: &ClassName, now: Timestamp) -> Option<Duration> {
         if Mechanism::ToldRefusals.is_off() {
             return None;
         }
@@ -119,7 +119,7 @@
     }
 
     /// Notes that a request is sent there.
-    pub fn note_sent(&mut self, now: Timestamp) {
+    pub fn record_sent_request(&mut self, now: Timestamp) {
         self.outstanding += 1;
         if self.silent_since.is_none() {
             self.silent_since = Some(now);
@@ -127,7 +127,7 @@
     }
 
     /// Notes that a request is no longer awaited.
-    pub fn note_ended(&mut self) {
+    pub fn record_ended_request(&mut self) {
         self.outstanding = self.outstanding.saturating_sub(1);
         if self.outstanding == 0 {
             self.silent_since = None;
@@ -142,23 +142,23 @@
     }
 
     /// Notes that the node could not be reached; returns the pause until the next try.
-    pub fn note_unreachable(&mut self, now: Timestamp) -> Duration {
-        let doubled = FIRST_PAUSE * 2_u32.saturating_pow(self.failures.min(8));
-        self.failures += 1;
+    pub fn record_unreachable(&mut self, now: Timestamp) -> Duration {
+        let doubled = FIRST_PAUSE * 2_u32.saturating_pow(self.consecutive_failures.min(8));
+        self.consecutive_failures += 1;
         let pause = doubled.min(LONGEST_PAUSE);
-        self.paused_until = now + pause;
+        self.backoff_until = now + pause;
         pause
     }
 
     /// Notes that the node answered.
-    pub fn note_heard(&mut self, now: Timestamp) {
-        self.note_reached();
+    pub fn record_response(&mut self, now: Timestamp) {
+        self.reset_backoff();
         self.silent_since = (self.outstanding > 1).then_some(now);
     }
 
     /// Forgets that it could not be reached.
-    pub fn note_reached(&mut self) {
-        self.failures = 0;
-        self.paused_until = Timestamp::default();
+    pub fn reset_backoff(&mut self) {
+        self.consecutive_failures = 0;
+        self.backoff_until = Timestamp::default();
     }
 }
--- a/tests/integration/proxy_decisions.rs
+++ b/tests/integration/proxy_decisions.rs
@@ -17,7 +17,7 @@
     state::{
         configuration::ConfigurationVersion,
         incarnation_id::IncarnationId,
-        placement_view::{NodeLoad, NodeRecord, NodeView, StoredRecord},
+        known_node::{KnownNode, NodeLoad, NodeRecord, StoredRecord},
         rate_limit::RateLimit,
         routing_table::{ClientLimits, Route, RouteIndex, RoutingTable, WeightedService},
         timestamp::Timestamp,
@@ -53,15 +53,15 @@
         address: address(last),
         service: "desk".into(),
         availability_zone: zone.into(),
-        run: run(instance, None),
+        incarnation: run(instance, None),
         slots: 6,
         leaving: false,
         operators: None,
     }
 }
 
-fn view(last: u8, zone: &str) -> NodeView {
-    NodeView::new(StoredRecord {
+fn view(last: u8, zone: &str) -> KnownNode {
+    KnownNode::new(StoredRecord {
         revision: 1,
         record: record(last, zone, "i"),
     })
@@ -147,7 +147,10 @@
     };
     assert!(directory.apply_record(stored(7, "i-2"), StateSource::Store));
     assert!(!directory.apply_record(stored(3, "i-1"), StateSource::Store));
-    assert_eq!(directory.nodes[&address(1)].record.run.instance, "i-2");
+    assert_eq!(
+        directory.nodes[&address(1)].record.incarnation.instance,
+        "i-2"
+    );
 }
 
 #[test]
@@ -283,7 +286,7 @@
 #[test]
 fn order_leaves_out_unreachable() {
     let mut unreachable = view(1, "a");
-    unreachable.note_unreachable(Timestamp(0));
+    unreachable.record_unreachable(Timestamp(0));
     let views = [unreachable, view(2, "a")];
     let order = |now| {
         order_candidates(
@@ -304,11 +307,11 @@
 #[test]
 fn order_silent_node_last() {
     let mut silent = view(1, "a");
-    silent.note_sent(Timestamp(0));
+    silent.record_sent_request(Timestamp(0));
     let mut busy = view(2, "a");
-    busy.note_sent(Timestamp(0));
-    busy.note_sent(Timestamp(0));
-    let first = |silent: &NodeView, busy: &NodeView, now| {
+    busy.record_sent_request(Timestamp(0));
+    busy.record_sent_request(Timestamp(0));
+    let first = |silent: &KnownNode, busy: &KnownNode, now| {
         let views = [silent.clone(), busy.clone()];
         let order = order_candidates(
             views.iter(),
@@ -320,9 +323,9 @@
         order[0].address
     };
     assert_eq!(first(&silent, &busy, Timestamp(50_000)), address(1));
-    busy.note_heard(Timestamp(390_000));
+    busy.record_response(Timestamp(390_000));
     assert_eq!(first(&silent, &busy, Timestamp(400_000)), address(2));
-    silent.note_ended();
+    silent.record_ended_request();
     assert_eq!(silent.silence(Timestamp(400_000)), Duration::ZERO);
 }
 
@@ -454,12 +457,15 @@
 fn told_finish_holds_for_a_while() {
     let mut view = view(1, "a");
     let class = "look".into();
-    view.note_refused(&class, Duration::from_millis(200), Timestamp(0));
+    view.record_refusal(&class, Duration::from_millis(200), Timestamp(0));
     let later = |millis: u64| Timestamp(millis * 1_000);
     assert_eq!(
-        view.told_finish(&class, later(40)),
+        view.reported_completion_time(&class, later(40)),
         Some(Duration::from_millis(160))
     );
-    assert_eq!(view.told_finish(&class, later(60)), None);
-    assert_eq!(view.told_finish(&"book".into(), later(0)), None);
+    assert_eq!(view.reported_completion_time(&class, later(60)), None);
+    assert_eq!(
+        view.reported_completion_time(&"book".into(), later(0)),
+        None
+    );
 }
--- a/tests/integration/retiring.rs
+++ b/tests/integration/retiring.rs
@@ -6,7 +6,7 @@
     proxy::directory::{Directory, StateSource},
     state::{
         incarnation_id::IncarnationId,
-        placement_view::{NodeRecord, StoredRecord},
+        known_node::{NodeRecord, StoredRecord},
         timestamp::Timestamp,
     },
 };
@@ -34,7 +34,7 @@
         address: address(number),
         service: "desk".into(),
         availability_zone: "a".into(),
-        run: IncarnationId {
+        incarnation: IncarnationId {
             instance: format!("i{number}"),
             started_ms: None,
         },
--- a/tests/integration/retiring_model.rs
+++ b/tests/integration/retiring_model.rs
@@ -8,7 +8,7 @@
     proxy::directory::{Directory, StateSource},
     state::{
         incarnation_id::IncarnationId,
-        placement_view::{NodeRecord, StoredRecord},
+        known_node::{NodeRecord, StoredRecord},
     },
 };
 use pathfinding::prelude::{bfs, bfs_reach};
@@ -206,7 +206,7 @@
                 address: ([10, 0, 0, 1], 7_000).into(),
                 service: "desk".into(),
                 availability_zone: "a".into(),
-                run: IncarnationId {
+                incarnation: IncarnationId {
                     instance: run.to_string(),
                     started_ms: None,
                 },
--- a/tests/integration/store_copy.rs
+++ b/tests/integration/store_copy.rs
@@ -4,7 +4,7 @@
     proxy::directory::{Directory, StateSource},
     state::{
         incarnation_id::IncarnationId,
-        placement_view::{NodeRecord, StoredRecord},
+        known_node::{NodeRecord, StoredRecord},
         quarantine::{Quarantine, QuarantineSource},
         request_fingerprint::RequestFingerprint,
         store_position::StorePosition,
@@ -27,7 +27,7 @@
             address: address(number),
             service: "desk".into(),
             availability_zone: "a".into(),
-            run: IncarnationId {
+            incarnation: IncarnationId {
                 instance: instance.into(),
                 started_ms: None,
             },
@@ -40,7 +40,7 @@
 
 fn instance_of(directory: &Directory, number: u8) -> String {
     let record = directory.find_record(address(number)).expect("known");
-    record.run.instance
+    record.incarnation.instance
 }
 
 /// Guards against an upstream's former run that takes the place of the present one, and against nodes that are forgotten.
--- a/tests/integration/stored_records.rs
+++ b/tests/integration/stored_records.rs
@@ -1,6 +1,6 @@
 //! The form in which records of nodes are stored and told, which nodes of other versions read and write too.
 
-use camphorturn::state::placement_view::{NodeRecord, StoredRecord};
+use camphorturn::state::known_node::{NodeRecord, StoredRecord};
 
 /// As stored by nodes of version 0.1.0: with all members, and with the least.
 const WRITTEN: [&str; 2] = [
