--- a/src/proxy/store_sync.rs
+++ b/src/proxy/store_sync.rs
@@ -198,8 +198,8 @@
         if read == TopicRead::Copy {
             core.log(&ProxyEvent::StoreRestored {
                 what: name_topic(topic),
-                era: StorePosition::unpack(records.next).era,
-                before: StorePosition::unpack(before).era,
+                era: StorePosition::unpack(records.next).epoch,
+                before: StorePosition::unpack(before).epoch,
             });
         }
         read
--- a/src/proxy/store_sync/restored_store.rs
+++ b/src/proxy/store_sync/restored_store.rs
@@ -68,7 +68,7 @@
         if !whole {
             return TopicRead::Continued;
         }
-        if StorePosition::is_of_earlier_era(before, next) {
+        if StorePosition::is_of_earlier_epoch(before, next) {
             self.second_due.set(Some(now + REWRITE_TIME));
             return TopicRead::Copy;
         }
@@ -110,7 +110,7 @@
     quarantined: &BTreeSet<RequestFingerprint>,
     next: u64,
 ) {
-    let era = StorePosition::unpack(next).era;
+    let era = StorePosition::unpack(next).epoch;
     let lost = core.directory.borrow_mut().compare_with_copy(&copy);
     let own = core.settings.peers;
     let own_stored = copy.iter().find(|stored| stored.record.address == own);
--- a/src/state/evacuations.rs
+++ b/src/state/evacuations.rs
@@ -82,7 +82,7 @@
         if next < self.position || is_over {
             return self.clone();
         }
-        let has_returned = StorePosition::is_of_earlier_era(self.position, next);
+        let has_returned = StorePosition::is_of_earlier_epoch(self.position, next);
         let mut after = match read {
             EvacuationRead::Continued => self.apply_changes(changes),
             EvacuationRead::All if has_returned || self.is_ahead_of_copy => self.join_copy(changes),
--- a/src/state/store_position.rs
+++ b/src/state/store_position.rs
@@ -12,7 +12,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct StorePosition {
     /// Rises each time the store comes back from a copy; 0 if the store doesn't tell. Below 2^32.
-    pub era: u64,
+    pub epoch: u64,
     /// Number of the record in its topic. Below 2^32.
     pub offset: u64,
 }
@@ -22,20 +22,20 @@
     #[must_use]
     pub const fn unpack(packed: u64) -> Self {
         Self {
-            era: packed >> OFFSET_BITS,
+            epoch: packed >> OFFSET_BITS,
             offset: packed & ((1 << OFFSET_BITS) - 1),
         }
     }
 
     /// Whether a packed place is known and of an earlier era than another one.
     #[must_use]
-    pub const fn is_of_earlier_era(packed: u64, other: u64) -> bool {
-        packed > 0 && Self::unpack(packed).era < Self::unpack(other).era
+    pub const fn is_of_earlier_epoch(packed: u64, other: u64) -> bool {
+        packed > 0 && Self::unpack(packed).epoch < Self::unpack(other).epoch
     }
 
     /// The place as one number: the era in the upper bits, the offset in the lower ones.
     #[must_use]
     pub const fn pack(self) -> u64 {
-        self.era << OFFSET_BITS | self.offset
+        self.epoch << OFFSET_BITS | self.offset
     }
 }
--- a/tests/integration/evacuations.rs
+++ b/tests/integration/evacuations.rs
@@ -75,7 +75,7 @@
 
 /// A place in the second era of the store.
 const fn later(offset: u64) -> u64 {
-    StorePosition { era: 2, offset }.pack()
+    StorePosition { epoch: 2, offset }.pack()
 }
 
 /// Guards against evacuations that end, or begin anew, with a store that has come back from a copy.
@@ -162,13 +162,17 @@
                 (first..)
                     .zip(records)
                     .map(|(offset, (zone, evacuated))| {
-                        change(zone, *evacuated, StorePosition { era, offset }.pack())
+                        change(
+                            zone,
+                            *evacuated,
+                            StorePosition { epoch: era, offset }.pack(),
+                        )
                     })
                     .collect()
             };
             let end = |era, offset: usize| {
                 let offset = offset as u64;
-                StorePosition { era, offset }.pack()
+                StorePosition { epoch: era, offset }.pack()
             };
             let newest = |records: &[(&str, bool)], era| -> Vec<EvacuationChange> {
                 let all = read(records, 0, era);
--- a/tests/integration/store_copy.rs
+++ b/tests/integration/store_copy.rs
@@ -21,7 +21,7 @@
 
 fn stored(number: u8, instance: &str, (era, offset): (u64, u64)) -> StoredRecord {
     StoredRecord {
-        revision: StorePosition { era, offset }.pack() + 1,
+        revision: StorePosition { epoch: era, offset }.pack() + 1,
         record: NodeRecord {
             name: format!("n{number}").as_str().into(),
             address: address(number),
@@ -54,7 +54,13 @@
     ] {
         assert!(directory.apply_record(known, StateSource::Store));
     }
-    directory.note_read(StorePosition { era: 1, offset: 7 }.pack());
+    directory.note_read(
+        StorePosition {
+            epoch: 1,
+            offset: 7,
+        }
+        .pack(),
+    );
     let copy = [stored(1, "i-1", (2, 0)), stored(2, "i-2a", (2, 1))];
     let lost = directory.compare_with_copy(&copy);
     let lost: Vec<SocketAddr> = lost.iter().map(|record| record.address).collect();
--- a/tests/integration/store_position.rs
+++ b/tests/integration/store_position.rs
@@ -4,7 +4,7 @@
 use camphorturn::state::store_position::StorePosition;
 
 const fn place(era: u64, offset: u64) -> StorePosition {
-    StorePosition { era, offset }
+    StorePosition { epoch: era, offset }
 }
 
 /// Packed places are in the order of their eras, then of their offsets, and lose nothing.
@@ -38,7 +38,13 @@
 #[test]
 fn is_of_earlier_era_unknown_place() {
     let later = place(2, 0).pack();
-    assert!(!StorePosition::is_of_earlier_era(0, later));
-    assert!(StorePosition::is_of_earlier_era(place(1, 9).pack(), later));
-    assert!(!StorePosition::is_of_earlier_era(later, place(2, 5).pack()));
+    assert!(!StorePosition::is_of_earlier_epoch(0, later));
+    assert!(StorePosition::is_of_earlier_epoch(
+        place(1, 9).pack(),
+        later
+    ));
+    assert!(!StorePosition::is_of_earlier_epoch(
+        later,
+        place(2, 5).pack()
+    ));
 }
