--- a/src/proxy/directory.rs
+++ b/src/proxy/directory.rs
@@ -136,7 +136,7 @@
 
     /// Compares what is known with the first read of all records after the store came back from a copy. Known records stay, since the
     /// copy is older. Returns the nodes whose record the store has lost or holds in another state.
-    pub fn compare_with_copy(&mut self, copy: &[StoredRecord]) -> Vec<NodeRecord> {
+    pub fn reconcile_with_restored_store(&mut self, copy: &[StoredRecord]) -> Vec<NodeRecord> {
         let by_address: HashMap<SocketAddr, &StoredRecord> = copy
             .iter()
             .map(|stored| (stored.record.address, stored))
--- a/src/proxy/store_sync.rs
+++ b/src/proxy/store_sync.rs
@@ -1,4 +1,4 @@
-//! Keeps a node up to date with the store, and the store with the node.
+//! Keeps this node and the store in sync: applies what the store holds, and writes this node's record and quarantines to it.
 
 mod configuration;
 mod nodes;
@@ -10,7 +10,7 @@
 pub use restored_store::request_own_record_rewrite;
 
 use self::{
-    restored_store::{CopyReads, TopicRead, write_own_when_lost},
+    restored_store::{ReadProgress, TopicRead, rewrite_own_record_when_lost},
     retries::Retries,
     startup::{wait_for_first_records, wait_for_first_table, wait_to_read_records},
     store_writes::{write_quarantines, write_records},
@@ -39,52 +39,55 @@
 };
 use tokio::task::spawn_local;
 
-/// How often a node that only makes sure looks whether it has become a reader.
-const ROLE_STEP: Duration = Duration::from_secs(1);
-/// Time for which the readers before this node must be out of reach until it reads in their place. After a loss of all,
-/// nodes can't reach each other for some hundred milliseconds, and all of them would read.
-const TAKE_OVER_PAUSE: Duration = Duration::from_millis(500);
-/// Rejected records that are remembered, the latest.
-const REJECTED_KEPT: usize = 1_000;
+/// Interval at which a node that is waiting for its next read checks whether it has become a reader of its zone.
+const ROLE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
+/// Delay before a node that has just become a reader checks its role again and reads. When all nodes restart, they can't reach
+/// each other for some hundred milliseconds; without the delay all of them would read.
+const TAKEOVER_DELAY: Duration = Duration::from_millis(500);
+/// Largest number of rejected records that are remembered; the ones with the highest positions are kept.
+const MAX_REMEMBERED_REJECTIONS: usize = 1_000;
 
-/// Keeps the node up to date with the store and the store with the node, until dropped. Records to be
-/// stored go to the sender that is returned.
+/// Starts the tasks that keep this node and the store in sync. They run until the event loop ends. Records of this node that
+/// are to be stored go into the returned sender.
 pub fn start_store_sync<S: StateStore>(core: &Rc<ProxyCore>, store: S) -> Sender<RecordWrite> {
-    let (orders, written) = flume::unbounded();
+    let (record_writes, received_writes) = flume::unbounded();
     for topic in [StoreTopic::Configuration, StoreTopic::Nodes] {
-        let follower = TopicSync {
+        let topic_sync = TopicSync {
             core: Rc::clone(core),
             store: store.clone(),
-            orders: orders.clone(),
-            reads: Cell::default(),
-            rejected: RefCell::default(),
-            copy_reads: CopyReads::default(),
+            record_writes: record_writes.clone(),
+            is_reader: Cell::default(),
+            rejected_positions: RefCell::default(),
+            read_progress: ReadProgress::default(),
         };
-        spawn_local(follower.follow(topic));
+        spawn_local(topic_sync.run(topic));
     }
-    spawn_local(write_own_when_lost(Rc::clone(core), orders.clone()));
+    spawn_local(rewrite_own_record_when_lost(
+        Rc::clone(core),
+        record_writes.clone(),
+    ));
     spawn_local(retire_lost_nodes(Rc::clone(core), store.clone()));
     spawn_local(keep_zone_current(Rc::clone(core)));
     spawn_local(write_quarantines(Rc::clone(core), store.clone()));
-    spawn_local(write_records(Rc::clone(core), store, written));
-    orders
+    spawn_local(write_records(Rc::clone(core), store, received_writes));
+    record_writes
 }
 
-/// What following a topic needs.
+/// Reads one topic of the store and applies its records.
 struct TopicSync<S> {
     core: Rc<ProxyCore>,
     store: S,
-    orders: Sender<RecordWrite>,
-    /// Whether this node was a reader of its zone when it last looked.
-    reads: Cell<bool>,
-    /// Places of records that were found to be of another writer, so that each is told of once.
-    rejected: RefCell<BTreeSet<u64>>,
-    copy_reads: CopyReads,
+    record_writes: Sender<RecordWrite>,
+    /// Whether this node was a reader of its zone at the last check.
+    is_reader: Cell<bool>,
+    /// Positions of records that could not be decoded, so that each is logged once.
+    rejected_positions: RefCell<BTreeSet<u64>>,
+    read_progress: ReadProgress,
 }
 
 impl<S: StateStore> TopicSync<S> {
-    /// Follows a topic until dropped, and tells the zone what is new.
-    async fn follow(self, topic: StoreTopic) {
+    /// Reads a topic until dropped, and shares new records with the zone.
+    async fn run(self, topic: StoreTopic) {
         let core = &self.core;
         let mut retries = Retries::new(core, name_topic(topic));
         let mut next: Option<u64> = None;
@@ -92,56 +95,57 @@
             StoreTopic::Configuration => wait_for_first_table(core).await,
             StoreTopic::Nodes => wait_to_read_records(core).await,
         }
-        let is_told = topic == StoreTopic::Configuration && core.routes().is_some();
-        // Why the next read does not wait for this node's turn.
-        let mut urgent = (!is_told).then_some(CallReason::Start);
+        let is_received = topic == StoreTopic::Configuration && core.routes().is_some();
+        // Set if the next read is made at once, with its reason; otherwise it waits until this node is due to read.
+        let mut urgent = (!is_received).then_some(CallReason::Start);
         loop {
             let (wait, reason) = match urgent.take() {
                 Some(reason) => (Duration::ZERO, reason),
                 None => self.wait_for_turn(topic, retries.is_failing()).await,
             };
-            let reads_whole = self.copy_reads.is_second_due(core.timers.now());
-            let known = next.max(self.skip_known(topic));
-            let from = known.filter(|_| !reads_whole);
+            let rereads_all = self.read_progress.is_reread_due(core.timers.now());
+            let known = next.max(self.get_resume_position(topic));
+            let from = known.filter(|_| !rereads_all);
             match self.read(topic, from, wait, reason).await {
                 Ok(records) => {
-                    retries.succeed();
+                    retries.record_success();
                     next = Some(records.next);
                     let read = self.note_read(topic, &records, from.is_none());
-                    self.take_records(topic, &records, read).await;
+                    self.apply_records(topic, &records, read).await;
                 }
                 Err(StoreError::Deleted | StoreError::EpochChanged) => {
                     next = None;
-                    self.forget_place(topic);
+                    self.clear_resume_position(topic);
                     urgent = Some(CallReason::Retry);
                 }
                 Err(error) => {
-                    next = next.or(self.skip_known(topic));
+                    next = next.or(self.get_resume_position(topic));
                     urgent = next.is_none().then_some(CallReason::Retry);
-                    if retries.is_to_be_handed_over() && core.is_zone_reader() {
+                    if retries.should_delegate_reading() && core.is_zone_reader() {
                         delegate_store_reading(core);
                     }
-                    retries.fail(&error).await;
+                    retries.record_failure_and_wait(&error).await;
                 }
             }
         }
     }
 
-    /// Waits until this node is to read; tells how long the read may wait for a record, and why it is made.
+    /// Waits until this node is due to read. Returns how long the store may hold the read open until a record arrives, and the
+    /// reason of the read.
     async fn wait_for_turn(&self, topic: StoreTopic, is_failing: bool) -> (Duration, CallReason) {
         let core = &self.core;
         wait_for_first_records(core).await;
-        let spread = rand::rng().random_range(0.8..1.2);
+        let jitter = rand::rng().random_range(0.8..1.2);
         let since = core.timers.now();
         loop {
             let plan = core.plan_reading(topic);
-            let takes_over = plan.role != ReadingRole::Other && !self.reads.get();
-            self.reads.set(plan.role != ReadingRole::Other);
-            if takes_over && !core.is_substitute_reader() {
-                let _ = core.timers.after(TAKE_OVER_PAUSE).recv_async().await;
+            let becomes_reader = plan.role != ReadingRole::Other && !self.is_reader.get();
+            self.is_reader.set(plan.role != ReadingRole::Other);
+            if becomes_reader && !core.is_substitute_reader() {
+                let _ = core.timers.after(TAKEOVER_DELAY).recv_async().await;
                 continue;
             }
-            if core.timers.now().since(since) >= plan.pause.mul_f64(spread) {
+            if core.timers.now().since(since) >= plan.pause.mul_f64(jitter) {
                 let reason = match plan.role {
                     _ if is_failing => CallReason::Retry,
                     ReadingRole::Other => CallReason::GapCheck,
@@ -149,11 +153,11 @@
                 };
                 return (plan.wait, reason);
             }
-            let _ = core.timers.after(ROLE_STEP).recv_async().await;
+            let _ = core.timers.after(ROLE_CHECK_INTERVAL).recv_async().await;
         }
     }
 
-    /// Reads the records from a place on; without one, the newest record of each key.
+    /// Reads the records from a position on; without a position, the newest record of each key.
     async fn read(
         &self,
         topic: StoreTopic,
@@ -174,14 +178,15 @@
         }
     }
 
-    async fn take_records(&self, topic: StoreTopic, records: &RecordBatch, read: TopicRead) {
+    async fn apply_records(&self, topic: StoreTopic, records: &RecordBatch, read: TopicRead) {
         match topic {
-            StoreTopic::Configuration => self.take_configuration(records, read),
+            StoreTopic::Configuration => self.apply_configuration(records, read),
             StoreTopic::Nodes => {
-                if read == TopicRead::Copy {
-                    self.take_copy_of_nodes(records).await;
+                if read == TopicRead::FirstAfterRestore {
+                    self.apply_restored_nodes(records).await;
                 } else {
-                    self.take_nodes(records, read != TopicRead::Continued).await;
+                    self.apply_nodes(records, read != TopicRead::Incremental)
+                        .await;
                 }
                 let pause = self.core.plan_reading(topic).records_pause;
                 let _ = self.core.timers.after(pause).recv_async().await;
@@ -189,13 +194,15 @@
         }
     }
 
-    /// Records a read of the topic up to a place, and logs a return of the store.
-    fn note_read(&self, topic: StoreTopic, records: &RecordBatch, whole: bool) -> TopicRead {
+    /// Records how far the topic has been read, and logs if the store was restored from a backup copy.
+    fn note_read(&self, topic: StoreTopic, records: &RecordBatch, is_full_read: bool) -> TopicRead {
         let core = &self.core;
-        let before = self.copy_reads.read_up_to();
+        let before = self.read_progress.read_up_to();
         let now = core.timers.now();
-        let read = self.copy_reads.note_read(records.next, whole, now);
-        if read == TopicRead::Copy {
+        let read = self
+            .read_progress
+            .note_read(records.next, is_full_read, now);
+        if read == TopicRead::FirstAfterRestore {
             core.log(&ProxyEvent::StoreRestored {
                 what: name_topic(topic),
                 era: StorePosition::unpack(records.next).epoch,
@@ -205,16 +212,16 @@
         read
     }
 
-    /// Tells of a record of another writer.
-    fn tell_rejected(&self, record: &KeyedRecord, error: String) {
-        let mut rejected = self.rejected.borrow_mut();
-        if !rejected.insert(record.position) {
+    /// Logs a record that can't be decoded, once; another program may have written it.
+    fn log_rejected(&self, record: &KeyedRecord, error: String) {
+        let mut rejected_positions = self.rejected_positions.borrow_mut();
+        if !rejected_positions.insert(record.position) {
             return;
         }
-        if rejected.len() > REJECTED_KEPT {
-            rejected.pop_first();
+        if rejected_positions.len() > MAX_REMEMBERED_REJECTIONS {
+            rejected_positions.pop_first();
         }
-        drop(rejected);
+        drop(rejected_positions);
         self.core.log(&ProxyEvent::RecordRejected {
             key: record.key.clone(),
             error,
@@ -222,16 +229,16 @@
     }
 }
 
-/// Writes the record of this node, which the store has dropped or lost.
-fn write_own_again(core: &ProxyCore, orders: &Sender<RecordWrite>) {
+/// Writes the record of this node again after the store has deleted or lost it.
+fn rewrite_own_record(core: &ProxyCore, record_writes: &Sender<RecordWrite>) {
     core.stored_record.replace(None);
     core.log(&ProxyEvent::OwnRecordDropped {});
     let Some(record) = build_own_record(core) else {
         return;
     };
     let (done, _) = flume::bounded(1);
-    // The receiver goes only with the node.
-    let _ = orders.send(RecordWrite { record, done });
+    // Fails only when the node is ending.
+    let _ = record_writes.send(RecordWrite { record, done });
 }
 
 const fn name_topic(topic: StoreTopic) -> &'static str {
--- a/src/proxy/store_sync/configuration.rs
+++ b/src/proxy/store_sync/configuration.rs
@@ -1,8 +1,8 @@
-//! Applies the topic of the configuration: tables and evacuations.
+//! Applies records of the configuration topic: routing tables and evacuations.
 
 use super::{
     TopicSync,
-    restored_store::{TopicRead, tell_zone_of_copy},
+    restored_store::{TopicRead, send_resume_position_to_zone},
 };
 use crate::{
     protocol::{
@@ -14,9 +14,10 @@
 };
 
 impl<S: StateStore> TopicSync<S> {
-    /// Where the store goes on after what other nodes told. A configuration is not read again: it may be a megabyte, which
-    /// takes a link of 10 Mbit/s a second. Evacuations stand in the same topic: without them nothing is skipped.
-    pub(super) fn skip_known(&self, topic: StoreTopic) -> Option<u64> {
+    /// Position from which to read a topic, given what other nodes have already sent. A configuration that is known is not
+    /// read again: it may have a megabyte, which takes a second on a link of 10 Mbit/s. Evacuations are in the same topic, so
+    /// records are skipped only if the evacuations up to that position are known too.
+    pub(super) fn get_resume_position(&self, topic: StoreTopic) -> Option<u64> {
         match topic {
             StoreTopic::Configuration => {
                 let next = self.core.directory.borrow().configuration_resume_offset();
@@ -26,21 +27,21 @@
         }
     }
 
-    /// Forgets where the store goes on after what other nodes told: it has deleted the records from there on.
-    pub(super) fn forget_place(&self, topic: StoreTopic) {
+    /// Clears the position that other nodes reported, because the store no longer holds the records from there on.
+    pub(super) fn clear_resume_position(&self, topic: StoreTopic) {
         if topic == StoreTopic::Configuration {
             self.core.directory.borrow_mut().clear_stored_table();
         }
     }
 
-    pub(super) fn take_configuration(&self, records: &RecordBatch, read: TopicRead) {
+    pub(super) fn apply_configuration(&self, records: &RecordBatch, read: TopicRead) {
         let core = &self.core;
-        // First, so that no request goes by the new routes to a zone that was evacuated before them.
-        let changes = self.find_evacuations(records);
+        // Evacuations are applied before tables, so that no request is sent on new routes to a zone that was evacuated earlier.
+        let changes = self.decode_evacuations(records);
         let evacuation_read = match read {
-            TopicRead::Continued => EvacuationRead::Continued,
-            TopicRead::All | TopicRead::Copy => EvacuationRead::All,
-            TopicRead::AllWrittenAgain => EvacuationRead::AllWrittenAgain,
+            TopicRead::Incremental => EvacuationRead::Continued,
+            TopicRead::Full | TopicRead::FirstAfterRestore => EvacuationRead::All,
+            TopicRead::AfterRewrites => EvacuationRead::AllWrittenAgain,
         };
         apply_stored_evacuations(core, &changes, records.next, evacuation_read);
         for record in &records.records {
@@ -56,12 +57,12 @@
                 None => {}
             }
         }
-        if read == TopicRead::Copy {
-            tell_zone_of_copy(core);
+        if read == TopicRead::FirstAfterRestore {
+            send_resume_position_to_zone(core);
         }
     }
 
-    fn find_evacuations(&self, records: &RecordBatch) -> Vec<EvacuationChange> {
+    fn decode_evacuations(&self, records: &RecordBatch) -> Vec<EvacuationChange> {
         let mut changes = Vec::new();
         for record in &records.records {
             match self.store.decode_evacuated_zone(record) {
@@ -70,7 +71,7 @@
                     evacuated: record.value.is_some(),
                     position: record.position,
                 }),
-                Some(Err(error)) => self.tell_rejected(record, error),
+                Some(Err(error)) => self.log_rejected(record, error),
                 None => {}
             }
         }
--- a/src/proxy/store_sync/nodes.rs
+++ b/src/proxy/store_sync/nodes.rs
@@ -1,10 +1,10 @@
-//! Applies the topic of the nodes: their records, and requests in quarantine.
+//! Applies records of the nodes topic: records of nodes, and requests in quarantine.
 
 use super::{
     TopicSync,
-    restored_store::{list_quarantined, take_copy},
+    restored_store::{apply_restored_records, list_quarantined},
+    rewrite_own_record,
     startup::wait_for_routes,
-    write_own_again,
 };
 use crate::{
     protocol::store::{KeyedRecord, RecordBatch, StateStore, parse_quarantine_key},
@@ -24,28 +24,29 @@
 use std::collections::HashSet;
 
 impl<S: StateStore> TopicSync<S> {
-    pub(super) async fn take_copy_of_nodes(&self, records: &RecordBatch) {
+    pub(super) async fn apply_restored_nodes(&self, records: &RecordBatch) {
         let copy = records.records.iter();
         let copy: Vec<StoredRecord> = copy
             .filter(|record| parse_quarantine_key(&record.key).is_none())
             .filter_map(|record| self.decode_node(record, record.value.as_ref()?))
             .collect();
         let quarantined = list_quarantined(&records.records);
-        take_copy(&self.core, copy, &quarantined, records.next).await;
+        apply_restored_records(&self.core, copy, &quarantined, records.next).await;
     }
 
-    /// Applies records of nodes; `whole` if they are the newest of all keys.
-    pub(super) async fn take_nodes(&self, records: &RecordBatch, whole: bool) {
+    /// Applies records of nodes. After a full read, which gave the newest record of each key, known nodes that the store no
+    /// longer holds are removed.
+    pub(super) async fn apply_nodes(&self, records: &RecordBatch, is_full_read: bool) {
         let core = &self.core;
-        let mut news = Vec::new();
+        let mut new_records = Vec::new();
         let mut own = None;
         for record in &records.records {
-            if let Some(digest) = parse_quarantine_key(&record.key) {
-                self.take_quarantine(digest, record, whole);
+            if let Some(fingerprint) = parse_quarantine_key(&record.key) {
+                self.apply_quarantine(fingerprint, record, is_full_read);
                 continue;
             }
             let Some(value) = &record.value else {
-                self.forget(|key| key == record.key, record.position);
+                self.remove_nodes(|key| key == record.key, record.position);
                 continue;
             };
             let Some(stored) = self.decode_node(record, value) else {
@@ -54,24 +55,24 @@
             if stored.record.address == core.settings.peers {
                 own = Some(stored);
             } else if core.apply_record(stored.clone(), StateSource::Store) {
-                news.push(stored);
+                new_records.push(stored);
             }
         }
-        if whole {
-            // Drops from before may be among what the store has deleted.
+        if is_full_read {
+            // The store may already have deleted the records that mark keys as dropped.
             let kept: HashSet<&str> = records
                 .records
                 .iter()
                 .map(|kept| kept.key.as_str())
                 .collect();
-            self.forget(|key| !kept.contains(key), records.next);
+            self.remove_nodes(|key| !kept.contains(key), records.next);
         }
         core.directory.borrow_mut().note_read(records.next);
         core.mark_node_records_read();
-        if whole {
-            news = list_unshared(core, news, own.as_ref());
+        if is_full_read {
+            new_records = find_records_to_share(core, new_records, own.as_ref());
         }
-        share_with_zone(core, news);
+        share_with_zone(core, new_records);
         if let Some(own) = own {
             wait_for_routes(core).await;
             apply_stored_record(core, own.record).await;
@@ -80,24 +81,30 @@
 
     fn decode_node(&self, record: &KeyedRecord, value: &[u8]) -> Option<StoredRecord> {
         match serde_json::from_slice(value) {
-            Ok(node) => Some(describe_stored(record, node)),
+            Ok(node) => Some(build_stored_record(record, node)),
             Err(error) => {
-                self.tell_rejected(record, error.to_string());
+                self.log_rejected(record, error.to_string());
                 None
             }
         }
     }
 
-    /// At a start all nodes read the same, so only what comes later is told to the zone.
-    fn take_quarantine(&self, digest: RequestFingerprint, record: &KeyedRecord, whole: bool) {
-        let news = record.value.is_some() && apply_stored_quarantine(&self.core, digest);
-        if news && !whole {
-            propagate_quarantine_to_zone(&self.core, digest);
+    /// Applies a quarantine and forwards it to the zone if it is new. A full read is made by each node at its start, so its
+    /// records are not forwarded.
+    fn apply_quarantine(
+        &self,
+        fingerprint: RequestFingerprint,
+        record: &KeyedRecord,
+        is_full_read: bool,
+    ) {
+        let is_new = record.value.is_some() && apply_stored_quarantine(&self.core, fingerprint);
+        if is_new && !is_full_read {
+            propagate_quarantine_to_zone(&self.core, fingerprint);
         }
     }
 
-    /// Forgets the nodes whose keys the store held up to a revision and does no longer.
-    fn forget(&self, is_dropped: impl Fn(&str) -> bool, up_to: u64) {
+    /// Removes the known nodes with a revision of at most `up_to` whose keys the store no longer holds.
+    fn remove_nodes(&self, is_dropped: impl Fn(&str) -> bool, up_to: u64) {
         let core = &self.core;
         let by_key = |record: &NodeRecord| is_dropped(&self.store.get_node_key(record));
         let forgotten = core.directory.borrow_mut().remove_dropped(up_to, by_key);
@@ -109,15 +116,17 @@
         }
         let own_is_dropped = core.stored_record.borrow().as_ref().is_some_and(by_key);
         if own_is_dropped {
-            // Nobody has reached this node for long, but it lives: it was cut off, and gets no work from others without a record.
-            write_own_again(core, &self.orders);
+            // Other nodes dropped the record because this node was unreachable for a long time. Without a record it gets no
+            // requests from them.
+            rewrite_own_record(core, &self.record_writes);
         }
     }
 }
 
-/// Of what a node has read as a whole, what others may not have heard of. Those that read before stop as soon as the record
-/// of a node that comes before them is there, and what followed it may have come after their last read.
-fn list_unshared(
+/// The records of a full read that other nodes of the zone may not have. A reader stops reading once the record of a node that
+/// ranks before it is known. So if this node is a reader, earlier readers may not have seen the records that
+/// were stored after this node's own.
+fn find_records_to_share(
     core: &ProxyCore,
     read: Vec<StoredRecord>,
     own: Option<&StoredRecord>,
@@ -131,7 +140,7 @@
     }
 }
 
-const fn describe_stored(record: &KeyedRecord, node: NodeRecord) -> StoredRecord {
+const fn build_stored_record(record: &KeyedRecord, node: NodeRecord) -> StoredRecord {
     StoredRecord {
         revision: record.position.saturating_add(1),
         record: node,
--- a/src/proxy/store_sync/restored_store.rs
+++ b/src/proxy/store_sync/restored_store.rs
@@ -1,6 +1,9 @@
-//! What following a topic does once the store has come back from a copy.
+//! Handles a store that was restored from a backup copy.
+//!
+//! Such a store has lost the records written after the copy was made. Nodes keep what they know and write the lost records
+//! again.
 
-use super::{startup::wait_for_routes, write_own_again};
+use super::{rewrite_own_record, startup::wait_for_routes};
 use crate::{
     protocol::{
         hop::StateMessage,
@@ -24,65 +27,66 @@
 use rand::RngExt;
 use std::{cell::Cell, collections::BTreeSet, net::SocketAddr, rc::Rc, time::Duration};
 
-/// Time after the first read of the copy in which its clients write again what it has lost. What is missing after that is gone.
-const REWRITE_TIME: Duration = Duration::from_secs(10);
+/// Time after the first read of a restored store in which its clients write the lost records again. Records that are still
+/// missing after that count as deleted.
+const REWRITE_WINDOW: Duration = Duration::from_secs(10);
 
-/// Longest pause before a node writes its record again. All nodes may have lost theirs in the same moment.
-const WRITE_SPREAD: Duration = Duration::from_millis(500);
+/// Longest random delay before a node writes its record again. All nodes may have lost theirs at the same time.
+const MAX_REWRITE_DELAY: Duration = Duration::from_millis(500);
 
-/// What a read of a topic gave.
+/// What a read of a topic returned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum TopicRead {
-    /// The records after those read before.
-    Continued,
-    /// The newest of all keys.
-    All,
-    /// The same for the first time since the store came back from a copy.
-    Copy,
-    /// The same once its clients have written again what it had lost.
-    AllWrittenAgain,
+    /// The records after those of earlier reads.
+    Incremental,
+    /// The newest record of each key.
+    Full,
+    /// The newest record of each key, read for the first time since the store was restored from a copy.
+    FirstAfterRestore,
+    /// The newest record of each key, read once clients have had time to write the lost records again.
+    AfterRewrites,
 }
 
-/// The reads of a topic over returns of the store.
+/// How far a topic has been read, and whether it is to be read in full again after the store was restored.
 #[derive(Default)]
-pub(super) struct CopyReads {
-    /// Place up to which this node has read the topic.
+pub(super) struct ReadProgress {
+    /// Packed position up to which this node has read the topic; 0 if it has not.
     read_up_to: Cell<u64>,
-    second_due: Cell<Option<Timestamp>>,
+    reread_due: Cell<Option<Timestamp>>,
 }
 
-impl CopyReads {
-    /// Place up to which this node has read the topic; 0 if it has not.
+impl ReadProgress {
+    /// Packed position up to which this node has read the topic; 0 if it has not.
     pub(super) fn read_up_to(&self) -> u64 {
         self.read_up_to.get()
     }
 
-    /// Whether all records are to be read again now.
-    pub(super) fn is_second_due(&self, now: Timestamp) -> bool {
-        self.second_due.get().is_some_and(|due| due <= now)
+    /// Whether the second full read after a restore is due.
+    pub(super) fn is_reread_due(&self, now: Timestamp) -> bool {
+        self.reread_due.get().is_some_and(|due| due <= now)
     }
 
-    /// Records a read up to the place `next`; `whole` if it was of the newest records of all keys.
-    pub(super) fn note_read(&self, next: u64, whole: bool, now: Timestamp) -> TopicRead {
+    /// Records a read up to the position `next`. `is_full_read` tells whether it returned the newest record of each key.
+    pub(super) fn note_read(&self, next: u64, is_full_read: bool, now: Timestamp) -> TopicRead {
         let before = self.read_up_to.replace(next);
-        if !whole {
-            return TopicRead::Continued;
+        if !is_full_read {
+            return TopicRead::Incremental;
         }
         if StorePosition::is_of_earlier_epoch(before, next) {
-            self.second_due.set(Some(now + REWRITE_TIME));
-            return TopicRead::Copy;
+            self.reread_due.set(Some(now + REWRITE_WINDOW));
+            return TopicRead::FirstAfterRestore;
         }
-        if self.is_second_due(now) {
-            self.second_due.set(None);
-            return TopicRead::AllWrittenAgain;
+        if self.is_reread_due(now) {
+            self.reread_due.set(None);
+            return TopicRead::AfterRewrites;
         }
-        TopicRead::All
+        TopicRead::Full
     }
 }
 
-/// Tells the nodes of the zone where the topic of the configuration goes on, if this node reads for it. They would read the whole
-/// configuration otherwise.
-pub(super) fn tell_zone_of_copy(core: &Rc<ProxyCore>) {
+/// Sends the position up to which the configuration topic is known to the nodes of the zone, if this node reads for the zone.
+/// Without it they would read the whole configuration from the restored store.
+pub(super) fn send_resume_position_to_zone(core: &Rc<ProxyCore>) {
     if !core.is_zone_reader() && !core.is_substitute_reader() {
         return;
     }
@@ -95,27 +99,30 @@
     send_along_tree(core, &core.list_zone_nodes(), &message);
 }
 
-/// Requests that records of nodes hold in quarantine.
+/// The requests that are in quarantine according to the records.
 pub(super) fn list_quarantined(records: &[KeyedRecord]) -> BTreeSet<RequestFingerprint> {
     let kept = records.iter().filter(|record| record.value.is_some());
     kept.filter_map(|record| parse_quarantine_key(&record.key))
         .collect()
 }
 
-/// Applies the first read of the records of nodes after the store came back. Known records stay; their nodes are asked to write again
-/// what the store has lost.
-pub(super) async fn take_copy(
+/// Applies the first full read of the nodes topic after the store was restored. Known records stay, and nodes whose
+/// records the store has lost are asked to write them again.
+pub(super) async fn apply_restored_records(
     core: &Rc<ProxyCore>,
-    copy: Vec<StoredRecord>,
+    records: Vec<StoredRecord>,
     quarantined: &BTreeSet<RequestFingerprint>,
     next: u64,
 ) {
-    let era = StorePosition::unpack(next).epoch;
-    let lost = core.directory.borrow_mut().compare_with_copy(&copy);
+    let epoch = StorePosition::unpack(next).epoch;
+    let lost_records = core
+        .directory
+        .borrow_mut()
+        .reconcile_with_restored_store(&records);
     let own = core.settings.peers;
-    let own_stored = copy.iter().find(|stored| stored.record.address == own);
+    let own_stored = records.iter().find(|stored| stored.record.address == own);
     let own_stored = own_stored.map(|stored| stored.record.clone());
-    for stored in copy {
+    for stored in records {
         let address = stored.record.address;
         let is_known = core.directory.borrow().nodes.contains_key(&address);
         if !is_known {
@@ -125,10 +132,10 @@
     core.directory.borrow_mut().note_read(next);
     core.mark_node_records_read();
     write_lost_quarantines(core, quarantined);
-    ask_to_write_again(core, &lost, era);
+    request_record_rewrites(core, &lost_records, epoch);
     match (build_own_record(core), own_stored) {
         (Some(known), stored) if stored.as_ref() != Some(&known) => {
-            request_own_record_rewrite(core, era);
+            request_own_record_rewrite(core, epoch);
         }
         (None, Some(stored)) => {
             wait_for_routes(core).await;
@@ -138,37 +145,41 @@
     }
 }
 
-/// The readers of a zone ask its nodes; the others of the zone need not read the store for it.
-fn ask_to_write_again(core: &Rc<ProxyCore>, lost: &[NodeRecord], era: u64) {
+/// Asks the nodes of this zone whose records are lost to write them again, if this node is a reader of the zone. The other
+/// nodes then need not read the store to find out.
+fn request_record_rewrites(core: &Rc<ProxyCore>, lost_records: &[NodeRecord], epoch: u64) {
     if !core.is_zone_reader() {
         return;
     }
     let own_zone = &core.settings.availability_zone;
-    let asked = lost.iter().filter(|record| {
+    let asked = lost_records.iter().filter(|record| {
         record.availability_zone == *own_zone && record.address != core.settings.peers
     });
     let asked: Vec<SocketAddr> = asked.map(|record| record.address).collect();
     let message = StateMessage {
-        lost_in_epoch: Some(era),
+        lost_in_epoch: Some(epoch),
         ..StateMessage::default()
     };
     send_along_tree(core, &asked, &message);
 }
 
-/// Has the record of this node written again, once for each era in which the store has lost it.
-pub fn request_own_record_rewrite(core: &ProxyCore, era: u64) {
-    if era > core.record_lost_in_epoch.get() {
-        core.record_lost_in_epoch.set(era);
+/// Requests that the record of this node is written again, once for each epoch of the store that lacks it.
+pub fn request_own_record_rewrite(core: &ProxyCore, epoch: u64) {
+    if epoch > core.record_lost_in_epoch.get() {
+        core.record_lost_in_epoch.set(epoch);
         core.own_record_lost.notify_one();
     }
 }
 
-/// Writes the record of this node again whenever the store has lost it, until dropped.
-pub(super) async fn write_own_when_lost(core: Rc<ProxyCore>, orders: Sender<RecordWrite>) {
+/// Writes the record of this node again each time that was requested, until dropped.
+pub(super) async fn rewrite_own_record_when_lost(
+    core: Rc<ProxyCore>,
+    record_writes: Sender<RecordWrite>,
+) {
     loop {
         core.own_record_lost.notified().await;
-        let pause = WRITE_SPREAD.mul_f64(rand::rng().random_range(0.0..1.0));
+        let pause = MAX_REWRITE_DELAY.mul_f64(rand::rng().random_range(0.0..1.0));
         let _ = core.timers.after(pause).recv_async().await;
-        write_own_again(&core, &orders);
+        rewrite_own_record(&core, &record_writes);
     }
 }
--- a/src/proxy/store_sync/retries.rs
+++ b/src/proxy/store_sync/retries.rs
@@ -1,4 +1,4 @@
-//! Pauses between calls to the store that fail.
+//! Retry delays after failed calls to the store.
 
 use crate::{
     protocol::store::StoreError,
@@ -7,31 +7,32 @@
 use rand::RngExt;
 use std::{cell::Cell, time::Duration};
 
-/// Failures in a row after which others are asked again to read in this node's place; some eight seconds.
-const HAND_OVER_EVERY: u32 = 10;
-/// Pauses after failures of the store, doubled from the first to the second.
+/// Consecutive failures after which other nodes are asked again to read in place of this one. With the pauses below that is
+/// every eight seconds or so.
+const FAILURES_PER_DELEGATION: u32 = 10;
+/// Shortest and longest pause after a failed call. The pause doubles with each consecutive failure.
 const RETRY_PAUSES: (Duration, Duration) = (Duration::from_millis(100), Duration::from_millis(800));
 
-/// Paces calls after failures, and logs when the store is lost and regained.
+/// Counts consecutive failures, waits after each, and logs when the store stops answering and when it answers again.
 pub(super) struct Retries<'a> {
     core: &'a ProxyCore,
-    what: &'static str,
+    subject: &'static str,
     failures: Cell<u32>,
 }
 
 impl<'a> Retries<'a> {
-    pub(super) fn new(core: &'a ProxyCore, what: &'static str) -> Self {
+    pub(super) fn new(core: &'a ProxyCore, subject: &'static str) -> Self {
         Self {
             core,
-            what,
+            subject,
             failures: Cell::new(0),
         }
     }
 
-    /// True at the second failure in a row, and seldom after it: when the whole store is away, nodes that are
-    /// asked to read it only add to the calls.
-    pub(super) fn is_to_be_handed_over(&self) -> bool {
-        self.failures.get() % HAND_OVER_EVERY == 1
+    /// Whether other nodes are now to be asked to read: at the second consecutive failure and at every tenth after it. When the
+    /// store is unavailable to all nodes, those reads would only add load.
+    pub(super) fn should_delegate_reading(&self) -> bool {
+        self.failures.get() % FAILURES_PER_DELEGATION == 1
     }
 
     /// Whether the last call failed.
@@ -39,32 +40,32 @@
         self.failures.get() > 0
     }
 
-    pub(super) fn succeed(&self) {
+    pub(super) fn record_success(&self) {
         let failures = self.failures.take();
         if failures > 0 {
             self.core.log(&ProxyEvent::StoreRegained {
-                what: self.what,
+                what: self.subject,
                 failures,
             });
         }
     }
 
-    pub(super) async fn fail(&mut self, error: &StoreError) {
+    pub(super) async fn record_failure_and_wait(&mut self, error: &StoreError) {
         let failures = self.failures.get();
         if failures == 0 {
             self.core.log(&ProxyEvent::StoreLost {
-                what: self.what,
+                what: self.subject,
                 error: error.to_string(),
             });
         }
         self.failures.set(failures + 1);
         let (least, most) = RETRY_PAUSES;
         let pause = (least * 2_u32.saturating_pow(failures.min(8))).min(most);
-        let spread = rand::rng().random_range(0.7..1.3);
+        let jitter = rand::rng().random_range(0.7..1.3);
         let _ = self
             .core
             .timers
-            .after(pause.mul_f64(spread))
+            .after(pause.mul_f64(jitter))
             .recv_async()
             .await;
     }
--- a/src/proxy/store_sync/store_writes.rs
+++ b/src/proxy/store_sync/store_writes.rs
@@ -1,4 +1,4 @@
-//! Keeps the record of this node in the store.
+//! Writes the record of this node and the quarantine of requests to the store.
 
 use super::retries::Retries;
 use crate::{
@@ -14,17 +14,17 @@
 use flume::Receiver;
 use std::rc::Rc;
 
-/// Writes this node's record whenever it changes, until dropped. Only the newest is of use.
+/// Writes the record of this node whenever it changes, until dropped. Of several waiting records only the newest is written.
 pub(super) async fn write_records<S: StateStore>(
     core: Rc<ProxyCore>,
     store: S,
-    orders: Receiver<RecordWrite>,
+    record_writes: Receiver<RecordWrite>,
 ) {
     let mut retries = Retries::new(&core, "records");
-    while let Ok(mut order) = orders.recv_async().await {
+    while let Ok(mut write) = record_writes.recv_async().await {
         loop {
-            if let Some(newer) = orders.drain().last() {
-                order = newer;
+            if let Some(newer) = record_writes.drain().last() {
+                write = newer;
             }
             let reason = if retries.is_failing() {
                 CallReason::Retry
@@ -32,35 +32,36 @@
                 CallReason::OwnRecord
             };
             core.counters.store_calls.count(StoreCall::Append, reason);
-            match append(&store, &order.record).await {
+            match append(&store, &write.record).await {
                 Ok(()) => {
-                    retries.succeed();
-                    core.stored_record.replace(Some(order.record.clone()));
-                    // Whoever waited for it may have given up.
-                    let _ = order.done.try_send(());
+                    retries.record_success();
+                    core.stored_record.replace(Some(write.record.clone()));
+                    // The receiver may have stopped waiting.
+                    let _ = write.done.try_send(());
                     break;
                 }
-                Err(error) => retries.fail(&error).await,
+                Err(error) => retries.record_failure_and_wait(&error).await,
             }
         }
     }
 }
 
-/// Writes the quarantine of requests as it is then whenever it changes, until dropped.
+/// Writes changes of the quarantine to the store, until dropped. Each write holds the state of the request at the time of
+/// the write.
 pub(super) async fn write_quarantines<S: StateStore>(core: Rc<ProxyCore>, store: S) {
     let mut retries = Retries::new(&core, "quarantine");
-    let (_, orders) = &core.quarantine_writes;
-    while let Ok(digest) = orders.recv_async().await {
+    let (_, fingerprints) = &core.quarantine_writes;
+    while let Ok(fingerprint) = fingerprints.recv_async().await {
         loop {
             let calls = &core.counters.store_calls;
             calls.count(StoreCall::Append, CallReason::Quarantine);
-            let is_kept = find_quarantine(&core, digest).is_some();
-            match store.append_quarantine(digest, is_kept).await {
+            let is_quarantined = find_quarantine(&core, fingerprint).is_some();
+            match store.append_quarantine(fingerprint, is_quarantined).await {
                 Ok(()) => {
-                    retries.succeed();
+                    retries.record_success();
                     break;
                 }
-                Err(error) => retries.fail(&error).await,
+                Err(error) => retries.record_failure_and_wait(&error).await,
             }
         }
     }
--- a/tests/integration/store_copy.rs
+++ b/tests/integration/store_copy.rs
@@ -62,7 +62,7 @@
         .pack(),
     );
     let copy = [stored(1, "i-1", (2, 0)), stored(2, "i-2a", (2, 1))];
-    let lost = directory.compare_with_copy(&copy);
+    let lost = directory.reconcile_with_restored_store(&copy);
     let lost: Vec<SocketAddr> = lost.iter().map(|record| record.address).collect();
     assert_eq!(lost, [address(2), address(3)]);
     assert_eq!(instance_of(&directory, 2), "i-2b");
