--- a/src/proxy.rs
+++ b/src/proxy.rs
@@ -1,7 +1,8 @@
-//! A node: takes requests of the clients on its VM, finds the node beside an
-//! upstream that runs them, and decides what the upstream beside itself runs.
+//! A node. It accepts requests from clients on its VM, routes each to a node whose local upstream executes it,
+//! and decides which requests its own local upstream executes.
 //!
-//! All state lives on one event-loop thread. `docs/design/platform.md` tells the way of a request.
+//! The local upstream of a node is the upstream on the same VM. All state lives on one event-loop thread.
+//! `docs/design/platform.md` describes the path of a request.
 
 mod client_reply;
 pub mod core;
--- a/src/proxy/core.rs
+++ b/src/proxy/core.rs
@@ -1,4 +1,4 @@
-//! What the parts of a node share on its event-loop thread.
+//! State that the modules of a node share on its event-loop thread.
 
 mod counters;
 mod mesh_roles;
@@ -43,80 +43,80 @@
 };
 use tokio::sync::Notify;
 
-/// State and edges of one node. No borrow is held over an `await`.
+/// State and connections of one node. No `RefCell` borrow is held across an `await`.
 pub struct ProxyCore {
-    /// What the node was told at its start.
+    /// Settings that the node was started with.
     pub settings: ProxySettings,
-    /// The bounds in force.
+    /// Limits in force; they may change while the node runs.
     limits: Cell<NodeBounds>,
-    /// Time and wake-ups.
+    /// Clock and timers.
     pub timers: TimerService,
-    /// The routing table in force and the nodes that are known.
+    /// The routing table in force and the known nodes.
     pub directory: RefCell<Directory>,
-    /// Whether the records of nodes have been read since the start.
+    /// Whether the node records have been read from the store since the start.
     node_records_read: Cell<bool>,
-    /// Wakes whoever waits for that.
+    /// Notified when the node records have been read.
     node_records_loaded: Notify,
-    /// What the store holds of this node, as far as is known.
+    /// The record of this node that the store holds, as far as is known.
     pub stored_record: RefCell<Option<NodeRecord>>,
-    /// The era of the store in which the record of this node was last found to be lost.
+    /// Latest store epoch in which the store was found to have lost the record of this node.
     pub record_lost_in_epoch: Cell<u64>,
-    /// Wakes whoever writes it again.
+    /// Notified when the record of this node has to be written again.
     pub own_record_lost: Notify,
-    /// The upstream beside the node, by its announcements.
+    /// The upstream on the same VM, as its announcements describe it.
     pub local_upstream: RefCell<LocalUpstream>,
-    /// Its slots.
+    /// Slots of the local upstream.
     pub slots: Slots,
-    /// Budgets for second upstreams, by service.
+    /// Retry budgets by service.
     pub retry_budgets: RefCell<HashMap<ServiceName, RetryBudget>>,
-    /// What runs of the upstream's classes call.
+    /// Calls to other services per execution of a class at the local upstream.
     pub calls_per_execution: RefCell<CallsPerExecution>,
-    /// Connections to the upstream and to other nodes.
+    /// Connections to the local upstream and to other nodes.
     pub outgoing: Rc<OutgoingConnections>,
-    /// Requests of clients in progress.
+    /// Client requests in progress.
     pub in_progress: Cell<usize>,
-    /// When the node was told to stop.
+    /// When the node was asked to stop.
     pub stopping_since: Cell<Option<Timestamp>>,
-    /// Counts since the start.
+    /// Counters since the start.
     pub counters: ProxyCounters,
-    /// Writes the lines of the log.
+    /// Writes events to the log.
     pub log_writer: LineWriter,
     /// When the node started.
     pub started: Timestamp,
-    /// What became of the requests of each class.
+    /// How client requests ended, by class.
     pub class_counts: RefCell<BTreeMap<ClassName, ClassCounts>>,
-    /// Usual bytes of a request and its answer, by class.
+    /// Moving average of the bytes of a request and its response, by class.
     pub class_bytes: RefCell<ClassBytes>,
     /// Whether a newer routing table is being fetched from other nodes.
     pub is_fetching_table: Cell<bool>,
-    /// Who has told of newer routing tables.
+    /// Nodes that have announced newer routing tables.
     pub table_sources: RefCell<TableSources>,
-    /// How long newer versions have been reported.
+    /// How long other nodes have been reporting newer versions of the configuration.
     pub version_lag: RefCell<VersionLag>,
-    /// Wakes whoever waits for an offer of a newer routing table.
+    /// Notified when another node offers a newer routing table.
     pub table_offered: Notify,
-    /// Whom of its zone this node has offered the routing table in force.
+    /// Nodes of the zone to which this node has offered the routing table in force.
     pub offer_rounds: RefCell<OfferRounds>,
     /// Availability zones that get no requests.
     pub evacuations: EvacuationsInForce,
-    /// Wakes whoever waits for a newer routing table.
+    /// Notified when a newer routing table is in force.
     pub table_applied: Notify,
-    /// Until when this node reads the store in place of one that can't.
+    /// Until when this node reads the store in place of a node that can't reach it.
     substitute_reader_until: Cell<Timestamp>,
-    /// Crashes of upstreams that this node counts.
+    /// Upstream crashes that this node counts, by request.
     pub crash_suspects: RefCell<CrashSuspects>,
-    /// Requests that are kept from upstreams.
+    /// Requests that no upstream gets, because they crash upstreams.
     pub quarantine: RefCell<Quarantine>,
-    /// What the upstream beside the node has answered.
+    /// Requests that the current incarnation of the local upstream has answered.
     pub answered_requests: RefCell<AnsweredRequests>,
-    /// Requests whose quarantine is to be written to the store as it is then, and who writes it.
+    /// Queue of requests whose quarantine state has to be written to the store. The state is looked up at the time of the write.
     pub quarantine_writes: (Sender<RequestFingerprint>, Receiver<RequestFingerprint>),
-    /// Requests picked a service by weight so far; spreads them evenly.
+    /// Number of services picked by weight so far. Starts at a random value and determines the next pick.
     pub service_picks: Cell<u32>,
 }
 
 impl ProxyCore {
-    /// The state of a node that knows nothing yet.
+    /// The state of a node that has just started: no routing table, no known nodes.
     #[must_use]
     pub fn new(settings: ProxySettings, timers: TimerService) -> Rc<Self> {
         Rc::new(Self {
@@ -157,7 +157,7 @@
         })
     }
 
-    /// The identity that a client gave a request; empty if it gave none.
+    /// Reads the request ID from the headers; empty if it is absent or no valid text.
     #[must_use]
     pub fn read_request_id(&self, headers: &HeaderMap) -> String {
         let id = headers.get(&self.settings.headers.request_id);
@@ -165,30 +165,30 @@
         text.unwrap_or_default().to_owned()
     }
 
-    /// The bounds in force.
+    /// The limits in force.
     #[must_use]
     pub fn limits(&self) -> NodeBounds {
         self.limits.get()
     }
 
-    /// Puts other bounds in force.
-    pub fn set_limits(&self, bounds: NodeBounds) {
-        self.limits.set(bounds);
-        self.slots.set_probe_limit(bounds.probes_per_second);
+    /// Replaces the limits in force, including the probe rate of the slots.
+    pub fn set_limits(&self, limits: NodeBounds) {
+        self.limits.set(limits);
+        self.slots.set_probe_limit(limits.probes_per_second);
     }
 
-    /// Writes an event to the log.
+    /// Writes an event to the log with the current time.
     pub fn log(&self, event: &ProxyEvent) {
         self.log_writer.write(event, self.timers.now());
     }
 
-    /// The routing table in force.
+    /// The routing table in force; none before the first one is known.
     #[must_use]
     pub fn routes(&self) -> Option<Rc<RouteIndex>> {
         self.directory.borrow().routes()
     }
 
-    /// Puts a routing table in force if it is newer than the present one; true if it was.
+    /// Puts a routing table in force if it is newer than the current one. Returns whether it was newer.
     pub fn apply_table(&self, table: RoutingTable, source: StateSource) -> bool {
         let event = ProxyEvent::TableInForce {
             version: table.version.0,
@@ -196,15 +196,15 @@
             routes: table.routes.len(),
             source: source.name(),
         };
-        let news = self.directory.borrow_mut().apply_table(table);
-        if news {
+        let is_newer = self.directory.borrow_mut().apply_table(table);
+        if is_newer {
             self.log(&event);
             self.table_applied.notify_one();
         }
-        news
+        is_newer
     }
 
-    /// Takes in a record of another node; true if it was news.
+    /// Records a record of another node. Returns whether it changed what was known; a record of this node never does.
     pub fn apply_record(&self, stored: StoredRecord, source: StateSource) -> bool {
         if stored.record.address == self.settings.peers {
             return false;
@@ -217,48 +217,48 @@
             leaving: stored.record.leaving,
             revision: stored.revision,
         };
-        let news = self.directory.borrow_mut().apply_record(stored, source);
-        if news {
+        let is_changed = self.directory.borrow_mut().apply_record(stored, source);
+        if is_changed {
             self.log(&event);
         }
-        news
+        is_changed
     }
 
-    /// Notes that the store's records of nodes have been read once.
+    /// Records that the node records have been read from the store, and wakes a task that waits for them.
     pub fn mark_node_records_read(&self) {
         self.node_records_read.set(true);
         self.node_records_loaded.notify_one();
     }
 
-    /// Whether the store's records of nodes have been read since the start.
+    /// Whether the node records have been read from the store since the start.
     #[must_use]
     pub fn has_records(&self) -> bool {
         self.node_records_read.get()
     }
 
-    /// Waits until the store's records of nodes have been read since the start.
+    /// Waits until the node records have been read from the store since the start.
     pub async fn wait_for_node_records(&self) {
         while !self.has_records() {
             self.node_records_loaded.notified().await;
         }
     }
 
-    /// Counts the end of a request of a class.
-    pub fn count_class(&self, class: &ClassName, count: impl FnOnce(&mut ClassCounts)) {
+    /// Applies `update` to the counts of a class.
+    pub fn update_class_counts(&self, class: &ClassName, update: impl FnOnce(&mut ClassCounts)) {
         let mut classes = self.class_counts.borrow_mut();
         match classes.get_mut(class) {
-            Some(counts) => count(counts),
-            None => count(classes.entry(class.clone()).or_default()),
+            Some(counts) => update(counts),
+            None => update(classes.entry(class.clone()).or_default()),
         }
     }
 
-    /// Whether clients may bring their requests here.
+    /// Whether clients may send requests to this node: it has a routing table and is not stopping.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         !self.is_stopping() && self.routes().is_some()
     }
 
-    /// Whether the node has been told to stop.
+    /// Whether the node has been asked to stop.
     #[must_use]
     pub fn is_stopping(&self) -> bool {
         self.stopping_since.get().is_some()
--- a/src/proxy/core/counters.rs
+++ b/src/proxy/core/counters.rs
@@ -1,36 +1,36 @@
-//! Counts of a node for its metrics page.
+//! Counters of a node for its metrics page.
 
 use crate::proxy::store_calls::StoreCallCounts;
 use std::cell::Cell;
 
-/// Counts since the start, for the metrics page.
+/// Counters since the start of the node, for the metrics page.
 #[derive(Debug, Default)]
 pub struct ProxyCounters {
-    /// Requests of clients.
+    /// Client requests.
     pub requests: Cell<u64>,
-    /// Of these, answered by an upstream.
+    /// Client requests that an upstream answered.
     pub answered: Cell<u64>,
-    /// Of these, refused without having run.
+    /// Client requests refused without having been executed.
     pub refused: Cell<u64>,
-    /// Of these, ended without it being known whether they ran.
+    /// Client requests of which it is unknown whether they were executed.
     pub unknown: Cell<u64>,
-    /// Requests run at the upstream beside the node.
+    /// Requests executed at the local upstream.
     pub executed: Cell<u64>,
-    /// Requests sent to a second upstream.
+    /// Retries and hedges that were paid for from a retry budget.
     pub retries: Cell<u64>,
-    /// Requests that were at the upstream beside the node when it crashed.
+    /// Requests that the local upstream was executing when it crashed.
     pub aborted_by_crash: Cell<u64>,
-    /// Questions to the upstream beside the node for its load.
+    /// Probes sent to the local upstream.
     pub probes: Cell<u64>,
-    /// Bytes of messages with state that came from other nodes.
+    /// Bytes of state messages received from other nodes.
     pub state_bytes: Cell<u64>,
-    /// Routing tables that came from other nodes and were no news.
+    /// Routing tables received from other nodes that were not newer than the one in force.
     pub stale_tables: Cell<u64>,
     /// Calls to the store.
     pub store_calls: StoreCallCounts,
 }
 
-/// Adds one.
+/// Adds one to a counter.
 pub fn increment(counter: &Cell<u64>) {
     counter.set(counter.get() + 1);
 }
--- a/src/proxy/core/mesh_roles.rs
+++ b/src/proxy/core/mesh_roles.rs
@@ -1,4 +1,4 @@
-//! What a node does for its zone or for the whole mesh, by its place among the nodes that can be reached.
+//! The roles of a node in its availability zone and in the mesh. They follow from its position among the reachable nodes.
 
 use crate::{
     coordination::{
@@ -17,11 +17,11 @@
 };
 use std::{net::SocketAddr, time::Duration};
 
-/// How long a node reads the store in place of one that can't; asked again as long as that lasts.
-const STANDING_IN: Duration = Duration::from_secs(8);
+/// How long a node reads the store in place of one that can't reach it. That node repeats its request while the failure lasts.
+const SUBSTITUTE_READING_TIME: Duration = Duration::from_secs(8);
 
 impl ProxyCore {
-    /// How this node reads a topic of the store next.
+    /// How this node reads a topic of the store next. A substitute reader reads like the first reader of its zone.
     #[must_use]
     pub fn plan_reading(&self, topic: StoreTopic) -> ReadingPlan {
         let role = if self.is_substitute_reader() {
@@ -36,19 +36,19 @@
         find_reading_role(self.settings.peers, self.list_zone_nodes().into_iter())
     }
 
-    /// Whether this node reads the store in place of one that can't.
+    /// Whether this node reads the store in place of a node that can't reach it.
     #[must_use]
     pub fn is_substitute_reader(&self) -> bool {
         self.timers.now() < self.substitute_reader_until.get()
     }
 
-    /// Whether this node is one of those that read the store for their zone.
+    /// Whether this node is one of the nodes that read the store for their zone.
     #[must_use]
     pub fn is_zone_reader(&self) -> bool {
         self.find_reading_role() != ReadingRole::Other
     }
 
-    /// Whether this node does what one node of the mesh does.
+    /// Whether this node performs the tasks that one node performs for the whole mesh. Nodes that know different nodes may both do so.
     #[must_use]
     pub fn is_mesh_coordinator(&self) -> bool {
         is_first(
@@ -57,27 +57,27 @@
         )
     }
 
-    /// The node that goes directly before this one, of those that can be reached as far as is known.
+    /// The reachable node directly before this one in the order that all nodes use; none if this one is the first.
     #[must_use]
     pub fn find_predecessor(&self) -> Option<SocketAddr> {
         let others = self.list_reachable(|_| true).into_iter();
         find_predecessor(self.settings.peers, others)
     }
 
-    /// Reads the store for the zone for a while, in place of a node that can't.
+    /// Makes this node read the store for its zone for a while, in place of a node that can't reach it.
     pub fn become_substitute_reader(&self) {
         self.substitute_reader_until
-            .set(self.timers.now() + STANDING_IN);
+            .set(self.timers.now() + SUBSTITUTE_READING_TIME);
     }
 
-    /// The other nodes of the zone that can be reached.
+    /// The other reachable nodes of the zone, by the addresses on which they accept requests from nodes.
     #[must_use]
     pub fn list_zone_nodes(&self) -> Vec<SocketAddr> {
         let own_zone = &self.settings.availability_zone;
         self.list_reachable(|record| record.availability_zone == *own_zone)
     }
 
-    /// The other nodes of the zone that can be reached and are not known to have the routing table in force.
+    /// The other reachable nodes of the zone that are not known to have the routing table in force.
     #[must_use]
     pub fn list_zone_nodes_without_table(&self) -> Vec<SocketAddr> {
         let mut zone = self.list_zone_nodes();
@@ -86,8 +86,8 @@
         zone
     }
 
-    /// The other nodes of the zone in the order of a ring, from the one after this on; `has_version` tells whether one is known to
-    /// have what is in force here.
+    /// The other nodes of the zone in ring order, starting with the one after this node. `has_version` returns whether a node is
+    /// known to have the routing table in force. Empty if no table is in force.
     #[must_use]
     pub fn list_ring(&self, has_version: impl Fn(SocketAddr) -> bool) -> Vec<RingNode> {
         let directory = self.directory.borrow();
@@ -105,13 +105,13 @@
         nodes.collect()
     }
 
-    /// The other nodes that can be reached, as far as is known, and whose record is `wanted`.
-    fn list_reachable(&self, wanted: impl Fn(&NodeRecord) -> bool) -> Vec<SocketAddr> {
+    /// The other reachable nodes whose record matches.
+    fn list_reachable(&self, matches: impl Fn(&NodeRecord) -> bool) -> Vec<SocketAddr> {
         let now = self.timers.now();
         let directory = self.directory.borrow();
         let views = directory.nodes.values();
         views
-            .filter(|view| wanted(&view.record))
+            .filter(|view| matches(&view.record))
             .filter(|view| is_reachable(view, now))
             .map(|view| view.record.address)
             .filter(|address| *address != self.settings.peers)
@@ -119,7 +119,7 @@
     }
 }
 
-/// Whether a node can be reached as far as is known.
+/// Whether no request to the node has failed since its last success and no pause is in force.
 fn is_reachable(view: &KnownNode, now: Timestamp) -> bool {
     view.consecutive_failures == 0 && view.backoff_until <= now
 }
--- a/src/proxy/entry.rs
+++ b/src/proxy/entry.rs
@@ -140,7 +140,7 @@
     let Some((class, target)) = class else {
         return;
     };
-    core.count_class(&class, |counts| match end {
+    core.update_class_counts(&class, |counts| match end {
         RequestOutcome::Answered(_) => counts.count_answer(took, target),
         RequestOutcome::Refused(..) | RequestOutcome::NoRoute => counts.count_refusal(),
         RequestOutcome::Unknown(_) => counts.count_unknown(),
