--- a/src/proxy/entry.rs
+++ b/src/proxy/entry.rs
@@ -1,4 +1,4 @@
-//! The node as the clients on its VM meet it.
+//! Handles the requests of the clients on the node's VM.
 
 mod attempt;
 mod request_attempts;
@@ -15,7 +15,7 @@
         entry::{
             request_log_line::RequestLogLine,
             request_router::{ClientCall, RequestRouter},
-            startup_wait::wait_while_starting,
+            startup_wait::wait_during_startup,
         },
     },
     state::{
@@ -31,28 +31,28 @@
 use std::{rc::Rc, time::Duration};
 use uuid::Uuid;
 
-/// When to come back to a node that knows no routes yet, or not the newest.
-const NO_ROUTES_RETRY: Duration = Duration::from_millis(200);
-/// Part of the time in which a configuration has to be in force everywhere, after which a node that was told of it must have it
-/// to handle requests. The rest is for a report that comes late.
-const REPORTED_SHARE: f64 = 0.5;
-/// Part of the time before the node is killed in which it takes requests. Clients send on while too
-/// few other nodes are ready; a request that is still under way at the end would be cut off.
-const ACCEPTED_SHARE: f64 = 0.45;
-/// When to come back to a node that stops: another one or its next run answers.
-const STOPPING_RETRY: Duration = Duration::from_millis(200);
-/// Times the idle time that operators allow clients, after which their connections are closed.
-const IDLE_MARGIN: u32 = 2;
-/// Spreads picks of a service evenly: successive multiples of the golden ratio, modulo 1.
+/// `Retry-After` of a node that has no routing table yet, or an outdated one.
+const NO_ROUTES_RETRY_AFTER: Duration = Duration::from_millis(200);
+/// A node must have a configuration in force that was reported to it this share of the apply time ago; without it, it refuses
+/// requests. The apply time is the limit until a configuration is in force at all nodes; its rest covers reports that arrive late.
+const VERSION_REPORT_SHARE: f64 = 0.5;
+/// Share of the grace period (stop request to kill) in which a stopping node accepts requests. Clients continue to send while too
+/// few other nodes are ready; a request that is still in progress when the node is killed would be aborted.
+const ACCEPTING_GRACE_SHARE: f64 = 0.45;
+/// `Retry-After` of a node that is stopping. The retry reaches another node or the next incarnation of this one.
+const STOPPING_RETRY_AFTER: Duration = Duration::from_millis(200);
+/// Client connections are closed after this many times the idle time that the configuration allows clients.
+const IDLE_TIMEOUT_FACTOR: u32 = 2;
+/// Successive multiples of the golden ratio, modulo 1, are evenly distributed and spread the picks of a service.
 const GOLDEN_RATIO: f64 = 0.618_033_988_749_895;
 
-/// The edge towards clients.
+/// Handles client requests.
 pub struct ClientHandler {
     core: Rc<ProxyCore>,
 }
 
 impl ClientHandler {
-    /// The edge of this node.
+    /// Creates the handler for the client listener of a node.
     #[must_use]
     pub fn new(core: Rc<ProxyCore>) -> Self {
         Self { core }
@@ -63,16 +63,21 @@
     fn handle(&self, req: CallerRequest) -> LocalBoxFuture<'static, CallerReply> {
         let core = Rc::clone(&self.core);
         Box::pin(async move {
-            let _counted = InProgress::count(&core);
+            let _in_progress = InProgressGuard::begin(&core);
             let arrived = core.timers.now();
             let mut req = req;
             ensure_request_id(&core, &mut req);
-            let digest = req.compute_fingerprint();
-            let mut line = RequestLogLine::begin(&core, &req, digest);
-            let end = carry_request(&core, req, digest, &mut line).await;
-            count_end(&core, &end, line.class(), core.timers.now().since(arrived));
-            line.end(&end);
-            build_reply(end)
+            let fingerprint = req.compute_fingerprint();
+            let mut line = RequestLogLine::new(&core, &req, fingerprint);
+            let outcome = route_request(&core, req, fingerprint, &mut line).await;
+            count_outcome(
+                &core,
+                &outcome,
+                line.class(),
+                core.timers.now().since(arrived),
+            );
+            line.write_outcome(&outcome);
+            build_reply(outcome)
         })
     }
 
@@ -80,8 +85,8 @@
         self.core.is_stopping()
     }
 
-    /// Closing a connection sooner than operators allow clients to keep it idle would cut requests that
-    /// are on their way.
+    /// Takes the limits for idle time and body size from the configuration in force. Closing a connection within the idle time that
+    /// the configuration allows clients would abort requests that are in transit.
     fn limits(&self, started_with: CallerLimits) -> CallerLimits {
         let Some(routes) = self.core.routes() else {
             return started_with;
@@ -90,31 +95,31 @@
         CallerLimits {
             head_timeout: started_with
                 .head_timeout
-                .max(limits.idle_timeout * IDLE_MARGIN),
+                .max(limits.idle_timeout * IDLE_TIMEOUT_FACTOR),
             max_body_bytes: limits.body_bytes.min(started_with.max_body_bytes),
             ..started_with
         }
     }
 }
 
-/// Counts a request in progress for as long as it lives, also when its client goes away.
-struct InProgress(Rc<ProxyCore>);
+/// Counts a request as in progress until dropped, also when its client disconnects.
+struct InProgressGuard(Rc<ProxyCore>);
 
-impl InProgress {
-    fn count(core: &Rc<ProxyCore>) -> Self {
+impl InProgressGuard {
+    fn begin(core: &Rc<ProxyCore>) -> Self {
         core.in_progress.set(core.in_progress.get() + 1);
         increment(&core.counters.requests);
         Self(Rc::clone(core))
     }
 }
 
-impl Drop for InProgress {
+impl Drop for InProgressGuard {
     fn drop(&mut self) {
         self.0.in_progress.set(self.0.in_progress.get() - 1);
     }
 }
 
-/// The node and the upstream tell requests apart by their ids; a client may leave that to the node.
+/// Adds a random request ID if the client sent none. The node and the upstream distinguish requests by their IDs.
 fn ensure_request_id(core: &ProxyCore, req: &mut CallerRequest) {
     let name = &core.settings.headers.request_id;
     if req.headers.contains_key(name) {
@@ -125,14 +130,14 @@
     }
 }
 
-fn count_end(
+fn count_outcome(
     core: &ProxyCore,
-    end: &RequestOutcome,
+    outcome: &RequestOutcome,
     class: Option<(ClassName, Duration)>,
     took: Duration,
 ) {
     let counters = &core.counters;
-    match end {
+    match outcome {
         RequestOutcome::Answered(_) => increment(&counters.answered),
         RequestOutcome::Refused(..) | RequestOutcome::NoRoute => increment(&counters.refused),
         RequestOutcome::Unknown(_) => increment(&counters.unknown),
@@ -140,93 +145,100 @@
     let Some((class, target)) = class else {
         return;
     };
-    core.update_class_counts(&class, |counts| match end {
+    core.update_class_counts(&class, |counts| match outcome {
         RequestOutcome::Answered(_) => counts.count_answer(took, target),
         RequestOutcome::Refused(..) | RequestOutcome::NoRoute => counts.count_refusal(),
         RequestOutcome::Unknown(_) => counts.count_unknown(),
     });
 }
 
-/// Whether a request taken now might not have ended before the node is killed.
-fn stops_soon(core: &ProxyCore, now: Timestamp) -> bool {
+/// Whether a request accepted now might not end before the stopping node is killed.
+fn is_too_late_to_accept(core: &ProxyCore, now: Timestamp) -> bool {
     let since = core.stopping_since.get();
-    since.is_some_and(|since| now.since(since) > core.limits().grace.mul_f64(ACCEPTED_SHARE))
+    since.is_some_and(|since| now.since(since) > core.limits().grace.mul_f64(ACCEPTING_GRACE_SHARE))
 }
 
-async fn carry_request(
+async fn route_request(
     core: &Rc<ProxyCore>,
     req: CallerRequest,
-    digest: RequestFingerprint,
+    fingerprint: RequestFingerprint,
     line: &mut RequestLogLine,
 ) -> RequestOutcome {
     let arrived = core.timers.now();
-    if stops_soon(core, arrived) {
-        return RequestOutcome::Refused(RefusalReason::Draining, STOPPING_RETRY);
+    if is_too_late_to_accept(core, arrived) {
+        return RequestOutcome::Refused(RefusalReason::Draining, STOPPING_RETRY_AFTER);
     }
-    wait_while_starting(core, || core.routes().is_some()).await;
+    wait_during_startup(core, || core.routes().is_some()).await;
     let Some(routes) = core.routes() else {
-        return RequestOutcome::Refused(RefusalReason::NoUpstream, NO_ROUTES_RETRY);
+        return RequestOutcome::Refused(RefusalReason::NoUpstream, NO_ROUTES_RETRY_AFTER);
     };
     let Some(route) = routes.find(req.host(), req.uri.path()).cloned() else {
-        return end_without_route(core);
+        return refuse_without_route(core);
     };
     drop(routes);
     if is_configuration_overdue(core) {
-        return RequestOutcome::Refused(RefusalReason::ConfigurationOverdue, NO_ROUTES_RETRY);
+        return RequestOutcome::Refused(RefusalReason::ConfigurationOverdue, NO_ROUTES_RETRY_AFTER);
     }
-    let asked = read_time_left(core, &req);
-    let time_left = asked.map_or(route.timeout, |asked| asked.min(route.timeout));
+    let client_time_left = read_time_left(core, &req);
+    let time_left =
+        client_time_left.map_or(route.timeout, |time_left| time_left.min(route.timeout));
     let Some(service) = pick_service(core, &route) else {
-        return end_without_route(core);
+        return refuse_without_route(core);
     };
-    line.note_route(&route, &service, time_left);
+    line.record_route(&route, &service, time_left);
     if time_left.is_zero() {
         return RequestOutcome::Unknown(UnknownCause::DeadlinePassed);
     }
-    if let Some(left) = find_quarantine(core, digest) {
+    if let Some(left) = find_quarantine(core, fingerprint) {
         return RequestOutcome::Refused(RefusalReason::Quarantined, left);
     }
-    wait_while_starting(core, || core.has_records() || knows_node_of(core, &service)).await;
+    wait_during_startup(core, || {
+        core.has_records() || has_node_of_service(core, &service)
+    })
+    .await;
     let deadline = arrived + time_left;
     let left = deadline.since(core.timers.now());
     if left.is_zero() {
-        return RequestOutcome::Refused(RefusalReason::NoUpstream, NO_ROUTES_RETRY);
+        return RequestOutcome::Refused(RefusalReason::NoUpstream, NO_ROUTES_RETRY_AFTER);
     }
     let call = ClientCall {
         req,
-        digest,
+        fingerprint,
         route,
         service,
         arrived,
         deadline,
     };
     let timeout = core.timers.after(left);
-    let mut carrier = RequestRouter::new(core, call, line.attempts());
+    let mut router = RequestRouter::new(core, call, line.attempts());
     tokio::select! {
-        end = carrier.run() => end,
-        _ = timeout.recv_async() => carrier.end_at_deadline(),
+        outcome = router.run() => outcome,
+        _ = timeout.recv_async() => router.end_at_deadline(),
     }
 }
 
-/// A client doesn't come back after it was told that there is no route. A node that has heard of a newer configuration doesn't
-/// know that: the route may be in it.
-fn end_without_route(core: &ProxyCore) -> RequestOutcome {
+/// The outcome of a request without a route. Clients don't retry after "no route". If a newer configuration is known to exist, the
+/// route may be in it, so the request is refused with a retry time.
+fn refuse_without_route(core: &ProxyCore) -> RequestOutcome {
     if core.table_sources.borrow().highest_reported() > core.directory.borrow().version() {
-        return RequestOutcome::Refused(RefusalReason::ConfigurationBehind, NO_ROUTES_RETRY);
+        return RequestOutcome::Refused(RefusalReason::ConfigurationBehind, NO_ROUTES_RETRY_AFTER);
     }
     RequestOutcome::NoRoute
 }
 
-/// Whether the configuration in force may no longer decide: other nodes have reported a newer one for long, and its
-/// acknowledgement may be older than the report.
+/// Whether the configuration in force is too old to route requests: other nodes reported a newer one too long ago. That one may
+/// have been acknowledged even before the report.
 fn is_configuration_overdue(core: &ProxyCore) -> bool {
-    let limit = core.limits().configuration_apply.mul_f64(REPORTED_SHARE);
+    let limit = core
+        .limits()
+        .configuration_apply
+        .mul_f64(VERSION_REPORT_SHARE);
     let own = core.directory.borrow().version();
     let lag = core.version_lag.borrow();
     lag.is_overdue(own, core.timers.now(), limit)
 }
 
-fn knows_node_of(core: &ProxyCore, service: &ServiceName) -> bool {
+fn has_node_of_service(core: &ProxyCore, service: &ServiceName) -> bool {
     let directory = core.directory.borrow();
     let mut nodes = directory.nodes.values();
     nodes.any(|view| view.record.service == *service && !view.record.leaving)
@@ -239,6 +251,7 @@
     route.pick_service(position).cloned()
 }
 
+/// The time until the deadline that the client gives in milliseconds in a header.
 fn read_time_left(core: &ProxyCore, req: &CallerRequest) -> Option<Duration> {
     let text = req.headers.get(&core.settings.headers.time_left)?;
     let millis: f64 = text.to_str().ok()?.trim().parse().ok()?;
--- a/src/proxy/entry/attempt.rs
+++ b/src/proxy/entry/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at a request, at this node's upstream or another node's.
+//! One attempt at a request, at the local upstream or through another node.
 
 use crate::{
     protocol::{
@@ -17,37 +17,37 @@
 };
 use std::{cell::Cell, net::SocketAddr, rc::Rc, time::Duration};
 
-/// Time for which a node is left out whose upstream takes no work at all. It announces a change within
-/// a second or two; asking more often costs a message each way for nothing.
+/// Time for which a node gets no attempts after it refused all requests to its upstream. The upstream announces a change within a
+/// second or two; more frequent attempts cost a message each way and achieve nothing.
 const REFUSAL_PAUSE: Duration = Duration::from_millis(300);
 
-/// Silence of a node, given up on by a request, after which it is left out: above the time that usual work
-/// takes, during which other requests hear of it.
-const SILENCE: Duration = Duration::from_millis(150);
+/// A node that a request gave up on gets no attempts for a while if it has been silent for this time. That is longer than usual
+/// work takes, in which other requests get answers from the node.
+const SILENCE_LIMIT: Duration = Duration::from_millis(150);
 
-/// An attempt that has come back.
-pub struct Returned {
-    /// The node asked.
+/// An attempt that has ended.
+pub struct AttemptResult {
+    /// The node that the attempt was sent to.
     pub to: SocketAddr,
-    /// What it said.
+    /// The answer of the node, or why there is none.
     pub result: Result<CompletedAttempt, SendError>,
 }
 
-/// Runs one attempt and learns from its end.
+/// Makes one attempt at the node `to`, and updates what is known of the node and the class from its result.
 pub async fn run_attempt(
     core: Rc<ProxyCore>,
     call: Rc<ClientCall>,
     attempts: Rc<RequestAttempts>,
     to: SocketAddr,
     hop: HopRequest,
-) -> Returned {
-    let outstanding = Outstanding::count(&core, &call, attempts, to, hop.finish_within);
+) -> AttemptResult {
+    let outstanding = OutstandingAttempt::begin(&core, &call, attempts, to, hop.finish_within);
     let result = if to == core.settings.peers {
         Ok(execute(&core, &hop, copy_request(&call.req)).await)
     } else {
         send_hop(&core, to, &hop, &call.req).await
     };
-    outstanding.end(&result);
+    outstanding.finish(&result);
     if let Ok(CompletedAttempt {
         response: Some(response),
         ..
@@ -56,15 +56,16 @@
         let bytes = call.req.body.len() + response.body().len();
         core.class_bytes.borrow_mut().note(&hop.class, bytes);
     }
-    Returned { to, result }
+    AttemptResult { to, result }
 }
 
-/// The time told with a refusal, or the one told with any other end; 0 if it is not that.
-fn read_answer(result: &Result<CompletedAttempt, SendError>, refused: bool) -> u64 {
+/// Milliseconds of `finish_or_wait` if the attempt was refused (`refused` is true) or was not refused (`refused` is false);
+/// 0 in the other case or without an answer.
+fn read_finish_or_wait_ms(result: &Result<CompletedAttempt, SendError>, refused: bool) -> u64 {
     result.as_ref().map_or(0, |executed| {
         let answer = &executed.answer;
-        let fits = matches!(answer.outcome, AttemptOutcome::Refused(_)) == refused;
-        if fits {
+        let is_wanted = matches!(answer.outcome, AttemptOutcome::Refused(_)) == refused;
+        if is_wanted {
             in_millis(answer.finish_or_wait)
         } else {
             0
@@ -72,7 +73,7 @@
     })
 }
 
-fn describe_end(result: &Result<CompletedAttempt, SendError>) -> LoggedEnd {
+fn describe_result(result: &Result<CompletedAttempt, SendError>) -> LoggedEnd {
     match result {
         Ok(executed) => match (executed.answer.outcome, &executed.response) {
             (AttemptOutcome::Answered, Some(response)) => {
@@ -96,65 +97,68 @@
     }
 }
 
-/// Counts an attempt at a node for as long as it is under way, and notes its line at its end.
-struct Outstanding {
+/// Counts an attempt at a node until it ends or is dropped, then records its log event.
+struct OutstandingAttempt {
     core: Rc<ProxyCore>,
     call: Rc<ClientCall>,
     attempts: Rc<RequestAttempts>,
     to: SocketAddr,
-    within: Duration,
+    finish_within: Duration,
     sent: Timestamp,
-    /// Age of what was known of the node's load.
-    known_age: Option<Duration>,
+    /// Age of the known load of the node when the attempt was sent.
+    known_load_age: Option<Duration>,
     ended: Cell<bool>,
 }
 
-impl Outstanding {
-    fn count(
+impl OutstandingAttempt {
+    fn begin(
         core: &Rc<ProxyCore>,
         call: &Rc<ClientCall>,
         attempts: Rc<RequestAttempts>,
         to: SocketAddr,
-        within: Duration,
+        finish_within: Duration,
     ) -> Self {
         let sent = core.timers.now();
-        let mut known_age = None;
+        let mut known_load_age = None;
         if let Some(view) = core.directory.borrow_mut().nodes.get_mut(&to) {
             view.record_sent_request(sent);
-            known_age = view.load.map(|(_, at)| sent.since(at));
+            known_load_age = view.load.map(|(_, at)| sent.since(at));
         }
         Self {
             core: Rc::clone(core),
             call: Rc::clone(call),
             attempts,
             to,
-            within,
+            finish_within,
             sent,
-            known_age,
+            known_load_age,
             ended: Cell::new(false),
         }
     }
 
-    fn end(&self, result: &Result<CompletedAttempt, SendError>) {
+    fn finish(&self, result: &Result<CompletedAttempt, SendError>) {
         self.ended.set(true);
-        self.learn(result);
+        self.update_node_view(result);
         let pace = result
             .as_ref()
             .map_or(0, |executed| executed.answer.load.slowdown_percent);
-        self.note_line(
-            describe_end(result),
-            (read_answer(result, true), read_answer(result, false)),
+        self.record_event(
+            describe_result(result),
+            (
+                read_finish_or_wait_ms(result, true),
+                read_finish_or_wait_ms(result, false),
+            ),
             pace,
         );
     }
 
-    fn note_line(&self, end: LoggedEnd, (finish_ms, waited_ms): (u64, u64), pace_percent: u16) {
-        self.attempts.note(ProxyEvent::AttemptReturned {
+    fn record_event(&self, end: LoggedEnd, (finish_ms, waited_ms): (u64, u64), pace_percent: u16) {
+        self.attempts.record_event(ProxyEvent::AttemptReturned {
             request: self.core.read_request_id(&self.call.req.headers),
             to: self.to,
             sent_ms: in_millis(self.sent.since(self.call.arrived)),
-            within_ms: in_millis(self.within),
-            known_age_ms: self.known_age.map(in_millis),
+            within_ms: in_millis(self.finish_within),
+            known_age_ms: self.known_load_age.map(in_millis),
             end,
             finish_ms,
             waited_ms,
@@ -163,9 +167,9 @@
         });
     }
 
-    fn learn(&self, result: &Result<CompletedAttempt, SendError>) {
+    fn update_node_view(&self, result: &Result<CompletedAttempt, SendError>) {
         let Ok(executed) = result else {
-            return self.leave_out();
+            return self.pause_node();
         };
         let now = self.core.timers.now();
         let mut directory = self.core.directory.borrow_mut();
@@ -179,8 +183,8 @@
         }
     }
 
-    /// Leaves the node out for a while.
-    fn leave_out(&self) {
+    /// Sends no attempts to the node for a while.
+    fn pause_node(&self) {
         if Mechanism::LeavingOut.is_off() {
             return;
         }
@@ -199,34 +203,34 @@
         });
     }
 
-    /// Whether nothing was heard of the node for as long as this attempt lasted, and that was long. A VM that
-    /// stands still or is cut off takes connections and says nothing; without this, each request would find
-    /// that out for itself, and be late.
-    fn met_silence(&self) -> bool {
+    /// Whether the node has sent nothing to this one during this attempt and for at least [`SILENCE_LIMIT`]. A VM that hangs or is
+    /// disconnected accepts connections and sends nothing. Without this check each request would find that out by itself and be
+    /// late.
+    fn is_node_silent(&self) -> bool {
         let now = self.core.timers.now();
         let directory = self.core.directory.borrow();
         let Some(view) = directory.nodes.get(&self.to) else {
             return false;
         };
         let silence = view.silence(now);
-        silence >= SILENCE && silence >= now.since(self.sent)
+        silence >= SILENCE_LIMIT && silence >= now.since(self.sent)
     }
 }
 
-/// A node whose upstream takes no work at all is left out for a while.
+/// Pauses attempts at a node that refuses all requests, whatever their class.
 fn pause_after_refusal(view: &mut KnownNode, reason: RefusalReason, now: Timestamp) {
     if !Mechanism::LeavingOut.is_off() && reason.is_node_wide() {
         view.backoff_until = now + REFUSAL_PAUSE;
     }
 }
 
-impl Drop for Outstanding {
+impl Drop for OutstandingAttempt {
     fn drop(&mut self) {
         if !self.ended.get() {
-            // What was under way when the request ended is where its time went.
-            self.note_line(LoggedEnd::Abandoned, (0, 0), 0);
-            if self.met_silence() {
-                self.leave_out();
+            // The request ended while this attempt was in progress: the log shows where the time of the request went.
+            self.record_event(LoggedEnd::Abandoned, (0, 0), 0);
+            if self.is_node_silent() {
+                self.pause_node();
             }
         }
         let mut directory = self.core.directory.borrow_mut();
--- a/src/proxy/entry/request_attempts.rs
+++ b/src/proxy/entry/request_attempts.rs
@@ -1,45 +1,46 @@
-//! The attempts at one request, for its log line and its bounds.
+//! Tracks the attempts at one request, for its log lines and its attempt limit.
 
 use crate::proxy::events::ProxyEvent;
 use std::cell::{Cell, RefCell};
 
-/// Attempts at a request so far. Shared by whoever carries the request and whoever writes its line: a
-/// request that is dropped because its client went away tells of its attempts too.
+/// Attempts at a request so far. Shared by the router of the request and its log line, so that the attempts are logged
+/// even if the request is dropped because its client disconnected.
 #[derive(Debug, Default)]
 pub struct RequestAttempts {
-    asked: Cell<u32>,
-    arrivals: Cell<u16>,
-    lines: RefCell<Vec<ProxyEvent>>,
+    nodes_asked: Cell<u32>,
+    upstream_attempts: Cell<u16>,
+    events: RefCell<Vec<ProxyEvent>>,
 }
 
 impl RequestAttempts {
-    /// Counts a node that is asked.
-    pub fn count_asked(&self) {
-        self.asked.set(self.asked.get() + 1);
+    /// Counts an attempt that is sent to a node.
+    pub fn count_node_asked(&self) {
+        self.nodes_asked.set(self.nodes_asked.get() + 1);
     }
 
-    /// Counts an attempt that reached an upstream or may have.
-    pub fn count_arrival(&self) {
-        self.arrivals.set(self.arrivals.get().saturating_add(1));
+    /// Counts an attempt that reached an upstream or may have reached one.
+    pub fn count_upstream_attempt(&self) {
+        self.upstream_attempts
+            .set(self.upstream_attempts.get().saturating_add(1));
     }
 
-    /// Nodes asked.
-    pub fn asked(&self) -> u32 {
-        self.asked.get()
+    /// Attempts sent to nodes, including refused ones.
+    pub fn nodes_asked(&self) -> u32 {
+        self.nodes_asked.get()
     }
 
-    /// Attempts that reached an upstream or may have.
-    pub fn arrivals(&self) -> u16 {
-        self.arrivals.get()
+    /// Attempts that reached an upstream or may have reached one.
+    pub fn upstream_attempts(&self) -> u16 {
+        self.upstream_attempts.get()
     }
 
-    /// Notes the line of an attempt that has ended.
-    pub fn note(&self, line: ProxyEvent) {
-        self.lines.borrow_mut().push(line);
+    /// Adds the log event of an attempt that has ended.
+    pub fn record_event(&self, event: ProxyEvent) {
+        self.events.borrow_mut().push(event);
     }
 
-    /// The lines so far.
-    pub fn take_lines(&self) -> Vec<ProxyEvent> {
-        self.lines.take()
+    /// Removes and returns the log events of the attempts that have ended.
+    pub fn take_events(&self) -> Vec<ProxyEvent> {
+        self.events.take()
     }
 }
--- a/src/proxy/entry/request_log_line.rs
+++ b/src/proxy/entry/request_log_line.rs
@@ -1,4 +1,4 @@
-//! The line of the log about a client's request.
+//! The log line about a client request.
 
 use crate::{
     proxy::{
@@ -17,12 +17,12 @@
 };
 use std::{rc::Rc, time::Duration};
 
-/// Collects what decided about a request. One that is dropped before its end tells that the client
-/// went away.
+/// Collects the facts of a request for its log line. If it is dropped before the line is written, the line says that the client
+/// disconnected.
 pub struct RequestLogLine {
     core: Rc<ProxyCore>,
-    request: String,
-    digest: RequestFingerprint,
+    request_id: String,
+    fingerprint: RequestFingerprint,
     arrived: Timestamp,
     version: u64,
     service: Option<ServiceName>,
@@ -30,14 +30,14 @@
     time_left: Duration,
     target: Duration,
     attempts: Rc<RequestAttempts>,
-    ended: bool,
+    is_written: bool,
 }
 
 impl RequestLogLine {
-    pub fn begin(core: &Rc<ProxyCore>, req: &CallerRequest, digest: RequestFingerprint) -> Self {
+    pub fn new(core: &Rc<ProxyCore>, req: &CallerRequest, fingerprint: RequestFingerprint) -> Self {
         Self {
-            request: core.read_request_id(&req.headers),
-            digest,
+            request_id: core.read_request_id(&req.headers),
+            fingerprint,
             arrived: core.timers.now(),
             version: core.directory.borrow().version().0,
             service: None,
@@ -45,32 +45,32 @@
             time_left: Duration::ZERO,
             target: Duration::ZERO,
             attempts: Rc::default(),
-            ended: false,
+            is_written: false,
             core: Rc::clone(core),
         }
     }
 
-    /// Notes the route and the service that was picked.
-    pub fn note_route(&mut self, route: &Route, service: &ServiceName, time_left: Duration) {
+    /// Records the route, the picked service and the time until the deadline.
+    pub fn record_route(&mut self, route: &Route, service: &ServiceName, time_left: Duration) {
         self.class = Some(route.class.clone());
         self.service = Some(service.clone());
         self.time_left = time_left;
         self.target = route.target;
     }
 
-    /// The class of the request and its target, if a route was found.
+    /// The class of the request and its latency target; none if no route was found.
     pub fn class(&self) -> Option<(ClassName, Duration)> {
         self.class.clone().map(|class| (class, self.target))
     }
 
-    /// Where the attempts at the request are noted.
+    /// The shared record of the attempts at the request.
     pub fn attempts(&self) -> Rc<RequestAttempts> {
         Rc::clone(&self.attempts)
     }
 
-    /// Writes the line.
-    pub fn end(mut self, end: &RequestOutcome) {
-        self.write(match end {
+    /// Writes the line with the outcome of the request.
+    pub fn write_outcome(mut self, outcome: &RequestOutcome) {
+        self.write(match outcome {
             RequestOutcome::Answered(response) => LoggedEnd::Answered(response.status().as_u16()),
             RequestOutcome::Refused(reason, _) => LoggedEnd::Refused(*reason),
             RequestOutcome::Unknown(cause) => LoggedEnd::Unknown(*cause),
@@ -79,45 +79,45 @@
     }
 
     fn write(&mut self, end: LoggedEnd) {
-        self.ended = true;
+        self.is_written = true;
         let now = self.core.timers.now();
         let took = now.since(self.arrived);
-        // The attempts of a request are as telling as its end.
-        let weight = end.priority_of_request(took > self.target);
-        let attempts = self.attempts.take_lines();
-        let soonest = attempts.iter().filter_map(ProxyEvent::refused_finish).min();
+        // The attempts are as important for the log as the end of their request.
+        let priority = end.priority_of_request(took > self.target);
+        let attempts = self.attempts.take_events();
+        let soonest_finish = attempts.iter().filter_map(ProxyEvent::refused_finish).min();
         for attempt in attempts {
-            // Refused questions are most of the lines on a day of high load; the soonest end tells most of
-            // what they do.
-            let told = if attempt.refused_finish().is_some() {
+            // Refused attempts are most of the lines under high load; the earliest finish time among them carries most of their
+            // information.
+            let attempt_priority = if attempt.refused_finish().is_some() {
                 EventPriority::Ordinary
             } else {
-                weight
+                priority
             };
             self.core
                 .log_writer
-                .write_with_priority(told, &attempt, now);
+                .write_with_priority(attempt_priority, &attempt, now);
         }
         self.core.log(&ProxyEvent::RequestEnded {
-            request: std::mem::take(&mut self.request),
-            digest: self.digest,
+            request: std::mem::take(&mut self.request_id),
+            digest: self.fingerprint,
             service: self.service.take(),
             class: self.class.take(),
             version: self.version,
             end,
-            asked: self.attempts.asked(),
-            arrivals: self.attempts.arrivals(),
+            asked: self.attempts.nodes_asked(),
+            arrivals: self.attempts.upstream_attempts(),
             took_ms: in_millis(took),
             time_left_ms: in_millis(self.time_left),
             target_ms: in_millis(self.target),
-            soonest_ms: soonest.unwrap_or_default(),
+            soonest_ms: soonest_finish.unwrap_or_default(),
         });
     }
 }
 
 impl Drop for RequestLogLine {
     fn drop(&mut self) {
-        if !self.ended {
+        if !self.is_written {
             self.write(LoggedEnd::ClientLeft);
         }
     }
--- a/src/proxy/entry/request_router.rs
+++ b/src/proxy/entry/request_router.rs
@@ -1,4 +1,4 @@
-//! Carries one request: asks nodes for a slot until one runs it.
+//! Routes one request: asks nodes for a slot until one executes it.
 
 mod attempt_results;
 
@@ -16,7 +16,7 @@
         core::{ProxyCore, increment},
         crash_detection::find_quarantine,
         entry::{
-            attempt::{Returned, run_attempt},
+            attempt::{AttemptResult, run_attempt},
             request_attempts::RequestAttempts,
         },
         events::ProxyEvent,
@@ -31,42 +31,43 @@
     },
     transport::callers::CallerRequest,
 };
-use attempt_results::Step;
+use attempt_results::NextStep;
 use futures::{StreamExt, future::LocalBoxFuture, stream::FuturesUnordered};
 use rand::RngExt;
 use std::{net::SocketAddr, ops::Range, rc::Rc, time::Duration};
 
-/// Spread of the times at which refused clients are to come back.
-const COME_BACK_SPREAD: Range<f64> = 0.8..1.2;
+/// Random factor of the `Retry-After` times of refused clients.
+const RETRY_AFTER_SPREAD: Range<f64> = 0.8..1.2;
 
-/// A request of a client with what was decided about it once.
+/// A client request with its route, service and deadline.
 pub struct ClientCall {
     /// The request.
     pub req: CallerRequest,
-    /// What it asks for.
-    pub digest: RequestFingerprint,
-    /// Its route.
+    /// Identifies requests with the same content.
+    pub fingerprint: RequestFingerprint,
+    /// Route of the request.
     pub route: Rc<Route>,
     /// The service picked for it.
     pub service: ServiceName,
-    /// When it came.
+    /// When the request arrived.
     pub arrived: Timestamp,
-    /// When its client or its route stops waiting.
+    /// The earlier of the client's deadline and the timeout of the route.
     pub deadline: Timestamp,
 }
 
-/// Carries one request.
+/// Makes attempts at one request until it has an outcome.
 pub struct RequestRouter {
     core: Rc<ProxyCore>,
     call: Rc<ClientCall>,
-    under_way: FuturesUnordered<LocalBoxFuture<'static, Returned>>,
+    in_flight: FuturesUnordered<LocalBoxFuture<'static, AttemptResult>>,
     search: SlotSearch,
     attempts: Rc<RequestAttempts>,
-    /// What an upstream answered, or why it is not known whether one ran the request.
-    earlier: Option<RequestOutcome>,
+    /// Outcome of an earlier attempt that may be retried: a server error, or why it is unknown whether the request was executed.
+    /// It becomes the outcome of the request if no later attempt gives one.
+    earlier_outcome: Option<RequestOutcome>,
     last_refusal: RefusalReason,
-    /// Repeats taken from the budget.
-    paid: u16,
+    /// Retries taken from the retry budget.
+    retries_paid: u16,
 }
 
 impl RequestRouter {
@@ -78,18 +79,19 @@
             core: Rc::clone(core),
             search: SlotSearch::begin(candidates, call.route.target, kilobytes),
             call: Rc::new(call),
-            under_way: FuturesUnordered::new(),
+            in_flight: FuturesUnordered::new(),
             attempts,
-            earlier: None,
+            earlier_outcome: None,
             last_refusal: RefusalReason::NoUpstream,
-            paid: 0,
+            retries_paid: 0,
         }
     }
 
-    /// Ends with the first answer, or with what is known when no node is left to ask.
+    /// Makes attempts until one gives a final outcome or no node is left to ask. An idempotent request without an answer is hedged
+    /// once.
     pub async fn run(&mut self) -> RequestOutcome {
-        if !self.ask_next() {
-            return self.give_up();
+        if !self.try_next_node() {
+            return self.end_without_answer();
         }
         let hedge = self
             .core
@@ -97,76 +99,81 @@
             .after(find_hedge_delay(self.call.route.target));
         let mut may_hedge = self.call.route.idempotent;
         loop {
-            let returned = tokio::select! {
-                returned = self.under_way.next() => returned,
+            let attempt = tokio::select! {
+                attempt = self.in_flight.next() => attempt,
                 _ = hedge.recv_async(), if may_hedge => {
                     may_hedge = false;
-                    self.hedge();
+                    self.start_hedge();
                     continue;
                 }
             };
-            let Some(returned) = returned else {
-                return self.give_up();
+            let Some(attempt) = attempt else {
+                return self.end_without_answer();
             };
-            let step = self.judge(returned);
-            if let Some(end) = self.take_step(step) {
-                return end;
+            let step = self.apply_result(attempt);
+            if let Some(outcome) = self.perform_step(step) {
+                return outcome;
             }
         }
     }
 
-    /// What the client is told when its time is over.
+    /// The outcome of the request if its deadline passes now.
     pub fn end_at_deadline(&mut self) -> RequestOutcome {
-        match self.earlier.take() {
-            Some(end) => end,
-            None if self.attempts.arrivals() == 0 && self.under_way.is_empty() => self.refuse(),
+        match self.earlier_outcome.take() {
+            Some(outcome) => outcome,
+            None if self.attempts.upstream_attempts() == 0 && self.in_flight.is_empty() => {
+                self.refuse()
+            }
             None => RequestOutcome::Unknown(UnknownCause::DeadlinePassed),
         }
     }
 
-    fn take_step(&mut self, step: Step) -> Option<RequestOutcome> {
-        let goes_on = match step {
-            Step::End(end) => return Some(end),
-            Step::Elsewhere | Step::Repeat if !self.under_way.is_empty() => true,
-            Step::Elsewhere => self.ask_next(),
-            Step::Repeat => self.repeat(),
+    fn perform_step(&mut self, step: NextStep) -> Option<RequestOutcome> {
+        let continues = match step {
+            NextStep::End(outcome) => return Some(outcome),
+            NextStep::TryAnotherNode | NextStep::Retry if !self.in_flight.is_empty() => true,
+            NextStep::TryAnotherNode => self.try_next_node(),
+            NextStep::Retry => self.retry(),
         };
-        (!goes_on).then(|| self.give_up())
+        (!continues).then(|| self.end_without_answer())
     }
 
-    fn hedge(&mut self) {
-        // One that waits for a slot is better off waiting than at two upstreams.
+    fn start_hedge(&mut self) {
+        // A request that waits for a slot gains nothing from a second upstream, so it is not hedged.
         if Mechanism::Hedging.is_off() {
             return;
         }
-        if self.under_way.len() == 1 && !self.search.has_waited() && self.take_retry() {
-            // Without another node to ask the first attempt is all there is.
-            let _ = self.ask_next();
+        if self.in_flight.len() == 1 && !self.search.has_waited() && self.pay_for_retry() {
+            // Without another node to ask, the first attempt goes on alone.
+            let _ = self.try_next_node();
         }
     }
 
-    fn repeat(&mut self) -> bool {
-        !Mechanism::Retries.is_off() && self.may_repeat() && self.take_retry() && self.ask_next()
+    fn retry(&mut self) -> bool {
+        !Mechanism::Retries.is_off()
+            && self.may_retry()
+            && self.pay_for_retry()
+            && self.try_next_node()
     }
 
-    fn may_repeat(&self) -> bool {
-        self.may_reach_another() && self.call.deadline > self.core.timers.now()
+    fn may_retry(&self) -> bool {
+        self.may_attempt_another() && self.call.deadline > self.core.timers.now()
     }
 
-    /// Whether one more attempt stays within the route's bound. One that is under way may have reached
-    /// its upstream already.
-    fn may_reach_another(&self) -> bool {
-        let under_way = u16::try_from(self.under_way.len()).unwrap_or(u16::MAX);
-        self.attempts.arrivals().saturating_add(under_way) < self.call.route.max_attempts
+    /// Whether one more attempt stays within the attempt limit of the route. Attempts in flight count, since they may have reached
+    /// an upstream already.
+    fn may_attempt_another(&self) -> bool {
+        let in_flight = u16::try_from(self.in_flight.len()).unwrap_or(u16::MAX);
+        self.attempts.upstream_attempts().saturating_add(in_flight) < self.call.route.max_attempts
     }
 
-    fn take_retry(&mut self) -> bool {
-        if !self.may_reach_another() {
+    fn pay_for_retry(&mut self) -> bool {
+        if !self.may_attempt_another() {
             return false;
         }
         let granted = take_retry(&self.core, &self.call.service);
         if granted {
-            self.paid = self.paid.saturating_add(1);
+            self.retries_paid = self.retries_paid.saturating_add(1);
             increment(&self.core.counters.retries);
         } else {
             self.core.log(&ProxyEvent::RetrySuppressed {
@@ -177,9 +184,11 @@
         granted
     }
 
-    /// Asks the next node; false if there is none to ask.
-    fn ask_next(&mut self) -> bool {
-        if !self.may_reach_another() || find_quarantine(&self.core, self.call.digest).is_some() {
+    /// Starts an attempt at the next node; false if no node is left or no attempt is allowed.
+    fn try_next_node(&mut self) -> bool {
+        if !self.may_attempt_another()
+            || find_quarantine(&self.core, self.call.fingerprint).is_some()
+        {
             return false;
         }
         let now = self.core.timers.now();
@@ -188,31 +197,30 @@
             left: self.call.deadline.since(now),
         };
         match self.search.find_next(time) {
-            SearchStep::AskAtOnce(node) => self.send(node, Duration::ZERO),
-            SearchStep::WaitAt { node, within } => self.send(node, within),
+            SearchStep::AskAtOnce(node) => self.start_attempt(node, Duration::ZERO),
+            SearchStep::WaitAt { node, within } => self.start_attempt(node, within),
             SearchStep::GiveUp => {
-                self.note_told_refusal();
+                self.set_refusal_without_attempt();
                 return false;
             }
         }
         true
     }
 
-    /// Where nobody was asked since all had told of full queues a moment ago, or all are in evacuated zones, that is why the
-    /// request is refused.
-    fn note_told_refusal(&mut self) {
+    /// Sets the reason for a refusal without any attempt: all nodes have just reported full queues, or all are in evacuated zones.
+    fn set_refusal_without_attempt(&mut self) {
         if self.last_refusal != RefusalReason::NoUpstream {
             return;
         }
         if self.search.has_offers() {
             self.last_refusal = RefusalReason::QueueFull;
-        } else if has_evacuated(&self.core, &self.call.service) {
+        } else if has_evacuated_upstreams(&self.core, &self.call.service) {
             self.last_refusal = RefusalReason::Evacuated;
         }
     }
 
-    fn send(&mut self, to: SocketAddr, within: Duration) {
-        self.attempts.count_asked();
+    fn start_attempt(&mut self, to: SocketAddr, within: Duration) {
+        self.attempts.count_node_asked();
         let now = self.core.timers.now();
         let spent = now.since(self.call.arrived);
         let hop = HopRequest {
@@ -224,45 +232,47 @@
             target_left: self.call.route.target.saturating_sub(spent),
             priority: self.call.route.priority,
             idempotent: self.call.route.idempotent,
-            is_retry: self.attempts.arrivals() > 0 || !self.under_way.is_empty(),
+            is_retry: self.attempts.upstream_attempts() > 0 || !self.in_flight.is_empty(),
             version: self.core.directory.borrow().version(),
             sender: self.core.settings.peers,
         };
         let core = Rc::clone(&self.core);
         let call = Rc::clone(&self.call);
         let attempts = Rc::clone(&self.attempts);
-        self.under_way
+        self.in_flight
             .push(Box::pin(run_attempt(core, call, attempts, to, hop)));
     }
 
-    fn give_up(&mut self) -> RequestOutcome {
-        match self.earlier.take() {
-            Some(end) => end,
+    fn end_without_answer(&mut self) -> RequestOutcome {
+        match self.earlier_outcome.take() {
+            Some(outcome) => outcome,
             None => self.refuse(),
         }
     }
 
     fn refuse(&self) -> RequestOutcome {
-        if let Some(left) = find_quarantine(&self.core, self.call.digest) {
+        if let Some(left) = find_quarantine(&self.core, self.call.fingerprint) {
             return RequestOutcome::Refused(RefusalReason::Quarantined, left);
         }
-        let spread = rand::rng().random_range(COME_BACK_SPREAD);
+        let spread = rand::rng().random_range(RETRY_AFTER_SPREAD);
         RequestOutcome::Refused(self.last_refusal, self.search.find_come_back(spread))
     }
 }
 
 impl Drop for RequestRouter {
-    /// What no upstream saw was no repeat. An attempt that is under way may still reach one.
+    /// Returns the retries that reached no upstream. Attempts in flight count as spent, since they may still reach one.
     fn drop(&mut self) {
-        let under_way = u16::try_from(self.under_way.len()).unwrap_or(u16::MAX);
-        let arrivals = self.attempts.arrivals().saturating_add(under_way);
-        let unspent = self.paid.saturating_sub(arrivals.saturating_sub(1));
+        let in_flight = u16::try_from(self.in_flight.len()).unwrap_or(u16::MAX);
+        let upstream_attempts = self.attempts.upstream_attempts().saturating_add(in_flight);
+        let unspent = self
+            .retries_paid
+            .saturating_sub(upstream_attempts.saturating_sub(1));
         return_retries(&self.core, &self.call.service, unspent);
     }
 }
 
-/// Whether upstreams of a service are in evacuated zones.
-fn has_evacuated(core: &ProxyCore, service: &ServiceName) -> bool {
+/// Whether a service has upstreams in evacuated zones.
+fn has_evacuated_upstreams(core: &ProxyCore, service: &ServiceName) -> bool {
     let directory = core.directory.borrow();
     let mut views = directory.nodes.values();
     views.any(|view| {
--- a/src/proxy/entry/request_router/attempt_results.rs
+++ b/src/proxy/entry/request_router/attempt_results.rs
@@ -1,4 +1,4 @@
-//! What the end of an attempt means for its request.
+//! Decides from the result of an attempt how its request goes on.
 
 use crate::{
     coordination::slot_search::Offer,
@@ -9,7 +9,7 @@
     proxy::{
         client_reply::RequestOutcome,
         crash_detection::clear_suspect,
-        entry::{attempt::Returned, request_router::RequestRouter},
+        entry::{attempt::AttemptResult, request_router::RequestRouter},
         executing::CompletedAttempt,
     },
     transport::outgoing::SendError,
@@ -18,78 +18,78 @@
 use http::Response;
 use std::{net::SocketAddr, time::Duration};
 
-/// What an attempt's end means for the request.
-pub enum Step {
-    /// The request ends with it.
+/// How a request goes on after an attempt.
+pub enum NextStep {
+    /// The request ends with this outcome.
     End(RequestOutcome),
-    /// It did not reach an upstream; another node may be asked.
-    Elsewhere,
-    /// It reached an upstream; another one costs a repeat.
-    Repeat,
+    /// The attempt did not reach an upstream; another node may be asked.
+    TryAnotherNode,
+    /// The attempt reached an upstream or may have; another attempt is a retry and is paid for from the budget.
+    Retry,
 }
 
 impl RequestRouter {
-    /// Learns from the end of an attempt.
-    pub fn judge(&mut self, returned: Returned) -> Step {
-        let Returned { to, result } = returned;
+    /// Updates the request with the result of an attempt.
+    pub fn apply_result(&mut self, attempt: AttemptResult) -> NextStep {
+        let AttemptResult { to, result } = attempt;
         match result {
-            Ok(CompletedAttempt { answer, response }) => self.judge_answer(to, answer, response),
+            Ok(CompletedAttempt { answer, response }) => self.apply_answer(to, answer, response),
             Err(SendError::NotSent) => {
                 self.last_refusal = RefusalReason::NotSent;
-                Step::Elsewhere
+                NextStep::TryAnotherNode
             }
             Err(_) => {
-                self.attempts.count_arrival();
-                self.judge_unknown(UnknownCause::NodeLost)
+                self.attempts.count_upstream_attempt();
+                self.apply_unknown(UnknownCause::NodeLost)
             }
         }
     }
 
-    fn judge_answer(
+    fn apply_answer(
         &mut self,
         to: SocketAddr,
         answer: HopAnswer,
         response: Option<Response<Bytes>>,
-    ) -> Step {
+    ) -> NextStep {
         match (answer.outcome, response) {
             (AttemptOutcome::Answered, Some(response)) => {
-                self.attempts.count_arrival();
-                self.judge_response(response)
+                self.attempts.count_upstream_attempt();
+                self.apply_response(response)
             }
             (AttemptOutcome::Answered, None) => {
-                self.attempts.count_arrival();
-                self.judge_unknown(UnknownCause::BadAnswer)
+                self.attempts.count_upstream_attempt();
+                self.apply_unknown(UnknownCause::BadAnswer)
             }
             (AttemptOutcome::Unknown(cause), _) => {
-                self.attempts.count_arrival();
-                self.judge_unknown(cause)
+                self.attempts.count_upstream_attempt();
+                self.apply_unknown(cause)
             }
             (AttemptOutcome::Refused(RefusalReason::UpstreamShed), _) => {
-                self.attempts.count_arrival();
+                self.attempts.count_upstream_attempt();
                 self.last_refusal = RefusalReason::UpstreamShed;
-                Step::Repeat
+                NextStep::Retry
             }
             (AttemptOutcome::Refused(RefusalReason::Quarantined), _)
-                if self.under_way.is_empty() =>
+                if self.in_flight.is_empty() =>
             {
-                let end =
+                let outcome =
                     RequestOutcome::Refused(RefusalReason::Quarantined, answer.finish_or_wait);
-                Step::End(self.earlier.take().unwrap_or(end))
+                NextStep::End(self.earlier_outcome.take().unwrap_or(outcome))
             }
             (AttemptOutcome::Refused(reason), _) => {
                 self.last_refusal = reason;
                 if reason == RefusalReason::QueueFull {
-                    self.note_offer(to, answer.finish_or_wait);
+                    self.record_offer(to, answer.finish_or_wait);
                 }
                 if reason.is_node_wide() {
                     self.search.reopen();
                 }
-                Step::Elsewhere
+                NextStep::TryAnotherNode
             }
         }
     }
 
-    fn note_offer(&mut self, address: SocketAddr, finish: Duration) {
+    fn record_offer(&mut self, address: SocketAddr, finish: Duration) {
         let mut directory = self.core.directory.borrow_mut();
         let Some(view) = directory.nodes.get_mut(&address) else {
             return;
@@ -104,31 +104,31 @@
         });
     }
 
-    /// A server error of an idempotent request may be a matter of that upstream only.
-    fn judge_response(&mut self, response: Response<Bytes>) -> Step {
+    /// A server error ends an idempotent request only if no retry gives an answer: the cause may lie in this upstream.
+    fn apply_response(&mut self, response: Response<Bytes>) -> NextStep {
         if matches!(
-            self.earlier,
+            self.earlier_outcome,
             Some(RequestOutcome::Unknown(UnknownCause::UpstreamCrashed))
         ) {
-            clear_suspect(&self.core, self.call.digest);
+            clear_suspect(&self.core, self.call.fingerprint);
         }
         let failed = response.status().is_server_error();
-        let end = RequestOutcome::Answered(Box::new(response));
+        let outcome = RequestOutcome::Answered(Box::new(response));
         if failed && self.call.route.idempotent {
-            self.earlier = Some(end);
-            return Step::Repeat;
+            self.earlier_outcome = Some(outcome);
+            return NextStep::Retry;
         }
-        Step::End(end)
+        NextStep::End(outcome)
     }
 
-    fn judge_unknown(&mut self, cause: UnknownCause) -> Step {
-        let end = RequestOutcome::Unknown(cause);
+    fn apply_unknown(&mut self, cause: UnknownCause) -> NextStep {
+        let outcome = RequestOutcome::Unknown(cause);
         if !self.call.route.idempotent || cause == UnknownCause::DeadlinePassed {
-            return Step::End(end);
+            return NextStep::End(outcome);
         }
-        if self.earlier.is_none() {
-            self.earlier = Some(end);
+        if self.earlier_outcome.is_none() {
+            self.earlier_outcome = Some(outcome);
         }
-        Step::Repeat
+        NextStep::Retry
     }
 }
--- a/src/proxy/entry/startup_wait.rs
+++ b/src/proxy/entry/startup_wait.rs
@@ -1,22 +1,22 @@
-//! Requests that come before a node has learned anything.
+//! Delays requests that arrive before a node has read its routing table and the node records.
 //!
-//! Load pattern answered: all nodes are started again at once, and clients come as soon as they listen. Routes take some 30 ms,
-//! the records of hundreds of nodes some 200 ms, since all read them together. Requests that are refused meanwhile come
-//! back into the seconds in which upstreams are cold and all others come back too. Whether such a request can be
-//! served isn't known yet, so it waits until that is known, or the start is over.
+//! Load pattern: all nodes restart at once, and clients connect as soon as the nodes listen. Reading the routes takes some 30 ms,
+//! the records of hundreds of nodes some 200 ms, since all nodes read them together. Refused requests would be retried within the
+//! seconds in which the upstreams are warming up and all other clients retry as well. Whether the node can serve such a request isn't
+//! known yet, so the request waits until it is known, or until the startup wait is over.
 
 use crate::proxy::core::ProxyCore;
 use std::time::Duration;
 
-/// Time after a start of the node within which requests wait for what it does not know. With 336 nodes started at once
-/// half had the records 190 ms after their start and the last 510 ms; a node without them then can't say when it will.
-const START_LASTS: Duration = Duration::from_millis(500);
-/// How often it looks.
-const STEP: Duration = Duration::from_millis(10);
+/// Time after the start of the node within which requests wait. With 336 nodes started at once, half of them had the node
+/// records after 190 ms and the last one after 510 ms. A node without the records after this time can't tell when it will get them.
+const STARTUP_WAIT: Duration = Duration::from_millis(500);
+/// Interval at which a waiting request checks.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Waits until `is_known`, at the longest until the start of the node is over.
-pub(super) async fn wait_while_starting(core: &ProxyCore, is_known: impl Fn() -> bool) {
-    while !is_known() && core.timers.now().since(core.started) < START_LASTS {
-        let _ = core.timers.after(STEP).recv_async().await;
+/// Waits until `is_known` returns true, at most until the startup wait of the node is over.
+pub(super) async fn wait_during_startup(core: &ProxyCore, is_known: impl Fn() -> bool) {
+    while !is_known() && core.timers.now().since(core.started) < STARTUP_WAIT {
+        let _ = core.timers.after(POLL_INTERVAL).recv_async().await;
     }
 }
