--- a/tests/integration/metrics_page.rs
+++ b/tests/integration/metrics_page.rs
@@ -69,10 +69,10 @@
 #[test]
 fn render_metrics_by_class() {
     let core = start_core();
-    core.count_class(&"lookups".into(), |counts| {
+    core.update_class_counts(&"lookups".into(), |counts| {
         counts.count_answer(Duration::from_millis(60), Duration::from_millis(50));
     });
-    core.count_class(&"lookups".into(), ClassCounts::count_refusal);
+    core.update_class_counts(&"lookups".into(), ClassCounts::count_refusal);
     let text = render_metrics(&core);
     for line in [
         "camphorturn_class_requests_total{class=\"lookups\"} 2",
