--- a/src/protocol.rs
+++ b/src/protocol.rs
@@ -1,4 +1,4 @@
-//! Typed messages and outcomes that cross an edge of a process.
+//! Messages and outcomes that a process exchanges with other nodes, operators' tools and the store.
 
 pub mod headers;
 pub mod hop;
--- a/src/protocol/headers.rs
+++ b/src/protocol/headers.rs
@@ -1,4 +1,4 @@
-//! Which headers cross an edge, and which stay behind.
+//! Removal of hop-by-hop headers from messages that are forwarded, and the check of a message's length headers.
 
 use http::{
     HeaderMap, HeaderName,
@@ -24,9 +24,9 @@
     UPGRADE,
 ];
 
-/// Removes what concerns one connection only, including headers that `Connection` names.
+/// Removes the headers that concern one connection only, including those that `Connection` names.
 pub fn remove_hop_by_hop(headers: &mut HeaderMap) {
-    for name in connection_named(headers) {
+    for name in list_connection_named(headers) {
         headers.remove(name);
     }
     for name in HOP_BY_HOP {
@@ -34,7 +34,7 @@
     }
 }
 
-fn connection_named(headers: &HeaderMap) -> Vec<HeaderName> {
+fn list_connection_named(headers: &HeaderMap) -> Vec<HeaderName> {
     let values = headers.get_all(CONNECTION);
     let texts = values.iter().filter_map(|value| value.to_str().ok());
     let tokens = texts.flat_map(|text| text.split(','));
@@ -43,8 +43,9 @@
         .collect()
 }
 
-/// Whether the message's length is given in two ways, which lets two readers of the same bytes
-/// disagree about where it ends.
+/// Whether the headers give the message's length twice: by several `Content-Length` headers, or by
+/// `Content-Length` and `Transfer-Encoding`. Two readers of the same bytes could then disagree about
+/// where the message ends.
 #[must_use]
 pub fn has_conflicting_lengths(headers: &HeaderMap) -> bool {
     let lengths = headers.get_all(CONTENT_LENGTH).iter().count();
--- a/src/protocol/hop.rs
+++ b/src/protocol/hop.rs
@@ -1,7 +1,8 @@
-//! What nodes tell each other beside a request that one passes on to another, as one header.
+//! Messages between nodes: the header that accompanies a forwarded request and its answer, and the state messages.
 //!
-//! The request itself travels unchanged. The header is short on purpose: bytes between availability
-//! zones are paid for.
+//! The request itself is forwarded unchanged. The header's fields are separated by semicolons and encoded by position,
+//! without names, and times are whole milliseconds: traffic between availability zones is billed by the byte.
+//! State messages are JSON.
 
 use crate::{
     protocol::outcome::{RefusalReason, UnknownCause},
@@ -18,69 +19,71 @@
 use serde::{Deserialize, Deserializer, Serialize, de::DeserializeOwned};
 use std::{net::SocketAddr, rc::Rc, time::Duration};
 
-/// Name of the header, on requests and answers between nodes.
+/// Header of requests and answers between nodes; holds a [`HopRequest`] or a [`HopAnswer`].
 pub const HOP_HEADER: &str = "x-hop";
-/// Header that marks a message with state instead of a request.
+/// Header that marks a message whose body is a [`StateMessage`] instead of a forwarded request.
 pub const STATE_HEADER: &str = "x-state";
 
-/// Flag of a request that may run twice.
+/// Bit in the flags of a [`HopRequest`]: running the request twice does no harm.
 const IDEMPOTENT_FLAG: u8 = 1;
-/// Flag of a request that was sent to another upstream before.
+/// Bit in the flags of a [`HopRequest`]: another upstream may have run the request already.
 const RETRY_FLAG: u8 = 2;
 
-/// Sent with a request.
+/// What the entry node sends along with a request that it forwards to an upstream's node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HopRequest {
-    /// Service whose upstream is to run it.
+    /// Service whose upstream is to run the request.
     pub service: ServiceName,
-    /// Class of work.
+    /// Class of the request.
     pub class: ClassName,
-    /// Service on the VM where the request began.
+    /// Service of the local upstream on the VM where the request entered the mesh.
     pub caller: ServiceName,
-    /// Time until the deadline.
+    /// Time until the request's deadline.
     pub time_left: Duration,
-    /// Time in which it has to end to be taken; zero if it wants a slot at once or none.
+    /// The receiver accepts the request only if it expects it to end within this time. Zero: it is to start at once
+    /// or be refused.
     pub finish_within: Duration,
-    /// Time in which it is to end to be on time; zero if that is over.
+    /// Time until the class's latency target is missed; zero if it is missed already.
     pub target_left: Duration,
-    /// Rank; 0 goes first.
+    /// Priority; 0 is the highest.
     pub priority: u8,
-    /// Whether running it twice does no harm.
+    /// Whether running the request twice does no harm.
     pub idempotent: bool,
-    /// Whether it was sent to another upstream before.
+    /// Whether the request was sent to another upstream before.
     pub is_retry: bool,
     /// Version of the routing table that the sender has in force.
     pub version: ConfigurationVersion,
-    /// Where the sender takes messages from nodes.
+    /// Address at which the sender accepts messages of other nodes.
     pub sender: SocketAddr,
 }
 
-/// How the attempt ended, as the node beside the upstream knows it.
+/// How an attempt at an upstream ended, as reported by the upstream's node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// The message is the upstream's answer.
+    /// The upstream answered; the message that bears the header is its answer.
     Answered,
-    /// It did not run.
+    /// The request was not executed.
     Refused(RefusalReason),
-    /// It may have run.
+    /// The request may have been executed.
     Unknown(UnknownCause),
 }
 
-/// Sent with an answer.
+/// What an upstream's node sends along with the answer to a forwarded request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HopAnswer {
     /// How the attempt ended.
     pub outcome: AttemptOutcome,
-    /// Load of the upstream now.
+    /// Load of the upstream when the answer was sent.
     pub load: NodeLoad,
     /// Version of the routing table that the answering node has in force.
     pub version: ConfigurationVersion,
-    /// After a refusal, the time in which it would have ended; else the time that it waited for a slot.
+    /// After [`RefusalReason::QueueFull`] the time in which the request would have ended, after
+    /// [`RefusalReason::Quarantined`] the rest of the quarantine. If the request got a slot, the time that it waited for it.
     pub finish_or_wait: Duration,
 }
 
 impl HopRequest {
-    /// The header's value.
+    /// Builds the header's value.
     #[must_use]
     pub fn encode(&self) -> String {
         format!(
@@ -104,7 +107,7 @@
         idempotent | retry
     }
 
-    /// Reads the header's value; none if it is malformed.
+    /// Parses the header's value; `None` if it is malformed.
     #[must_use]
     pub fn decode(text: &str) -> Option<Self> {
         let mut parts = text.split(';');
@@ -131,7 +134,7 @@
 }
 
 impl HopAnswer {
-    /// The header's value.
+    /// Builds the header's value.
     #[must_use]
     pub fn encode(&self) -> String {
         let load = self.load;
@@ -148,7 +151,7 @@
         )
     }
 
-    /// Reads the header's value; none if it is malformed.
+    /// Parses the header's value; `None` if it is malformed.
     #[must_use]
     pub fn decode(text: &str) -> Option<Self> {
         let mut parts = text.split(';');
@@ -187,7 +190,7 @@
     }
 }
 
-/// The name that a variant has in JSON.
+/// The serialized name of an enum variant without fields; "other" if the value does not serialize to a string.
 #[must_use]
 pub fn get_variant_name(value: &impl Serialize) -> String {
     let json = serde_json::to_value(value).ok();
@@ -199,91 +202,95 @@
     serde_json::from_value(serde_json::Value::from(name)).ok()
 }
 
-/// A node of another version may tell of records with other fields; the others hold all the same.
-fn read_records<'a, D: Deserializer<'a>>(from: D) -> Result<Vec<StoredRecord>, D::Error> {
-    let values = Vec::<serde_json::Value>::deserialize(from)?;
+/// Reads the records that this version understands and skips the others: a node of another version may send records
+/// with other fields.
+fn read_records<'a, D: Deserializer<'a>>(deserializer: D) -> Result<Vec<StoredRecord>, D::Error> {
+    let values = Vec::<serde_json::Value>::deserialize(deserializer)?;
     let records = values.into_iter().map(serde_json::from_value);
     Ok(records.filter_map(Result::ok).collect())
 }
 
-/// What a node has found out about requests at crashes of upstreams.
+/// What a node has found out about a request that upstreams were running when they crashed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CrashFinding {
-    /// An upstream crashed while it ran a request. The receiver counts the crashes under it.
+    /// An upstream crashed while it ran the request. The receiver counts such crashes by the request's fingerprint.
     Crashed {
-        /// What the request asks for.
+        /// Fingerprint of the request.
         #[serde(rename = "digest")]
         fingerprint: RequestFingerprint,
-        /// The run that crashed.
+        /// The upstream's incarnation that crashed.
         #[serde(rename = "run")]
         incarnation: IncarnationId,
     },
-    /// The request is what crashes the upstreams.
+    /// The request is held to be the cause of the crashes and is in quarantine.
     Quarantined(RequestFingerprint),
-    /// The request was at a crash, and an upstream has answered it since.
+    /// An upstream has answered the request since the crash.
     Answered(RequestFingerprint),
 }
 
-/// A table that the store holds.
+/// A routing table that the store holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredTable {
-    /// Its version.
+    /// Version of the table.
     pub version: ConfigurationVersion,
-    /// Where the store's topic of the configuration goes on after its record.
+    /// Position after the table's record in the store's configuration topic, packed
+    /// ([`StorePosition`](crate::state::store_position::StorePosition)).
     pub next: u64,
 }
 
-/// State that a node sends to others.
+/// State that a node sends to another one, requests for state, and the answers to them. A field that is absent has its
+/// default.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StateMessage {
-    /// What turns the routing table of the version asked about into the one in force.
+    /// Answer to `changes_since`: what turns the routing table of that version into the one in force.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub change: Option<Rc<TableChange>>,
-    /// The last table that the sender knows the store to hold.
+    /// The newest table that the sender knows the store to hold.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub stored_table: Option<StoredTable>,
-    /// The sender has this version in force and can be asked for it.
+    /// Version of the table that the sender has in force and that the receiver may fetch from it.
     #[serde(rename = "offered", default, skip_serializing_if = "Option::is_none")]
     pub offered_version: Option<ConfigurationVersion>,
-    /// Where the sender takes messages from nodes.
+    /// Address at which the sender accepts messages of other nodes.
     #[serde(rename = "from", default, skip_serializing_if = "Option::is_none")]
     pub sender: Option<SocketAddr>,
-    /// Records of nodes. One that can't be read is left out.
+    /// Records of nodes. Records that this version can't decode are skipped.
     #[serde(default, deserialize_with = "read_records")]
     pub nodes: Vec<StoredRecord>,
-    /// Nodes that the receiver is to pass the message on to.
+    /// Nodes to which the receiver is to forward the message.
     #[serde(rename = "pass_on", default, skip_serializing_if = "Vec::is_empty")]
     pub forward_to: Vec<SocketAddr>,
-    /// The receiver is to answer with what is newer than this version.
+    /// Asks the receiver for the changes since this version of the routing table.
     #[serde(rename = "wanted", default, skip_serializing_if = "Option::is_none")]
     pub changes_since: Option<ConfigurationVersion>,
-    /// The sender has read the records of nodes; they need not be told with the answer.
+    /// The sender has the nodes' records already; the answer may omit them.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub has_records: bool,
-    /// The receiver is to read the store for its zone: the sender can't.
+    /// Asks the receiver to read the store for its availability zone, because the sender can't.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub read_store: bool,
-    /// The receiver is to find out whether it reaches that node.
+    /// Asks the receiver to check whether it can reach the node at this address.
     #[serde(rename = "reaches", default, skip_serializing_if = "Option::is_none")]
     pub check_peer: Option<SocketAddr>,
-    /// Whether it does.
+    /// Answer to `check_peer`: whether the node is reachable.
     #[serde(rename = "reached", default, skip_serializing_if = "Option::is_none")]
     pub peer_reachable: Option<bool>,
     /// Evacuated availability zones, as the sender knows them.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub evacuations: Option<Rc<Evacuations>>,
-    /// Position up to which the sender knows of evacuations.
+    /// Position in the store's configuration topic up to which the sender knows the evacuations, packed.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub evacuations_position: Option<u64>,
-    /// The store lost the receiver's record when it came back from a copy in this era. The receiver is to write it again.
+    /// The store lost the receiver's record when it was restored from a copy, which began this epoch. The receiver is
+    /// to write its record again.
     #[serde(
         rename = "lost_in_era",
         default,
         skip_serializing_if = "Option::is_none"
     )]
     pub lost_in_epoch: Option<u64>,
-    /// What the sender has found out about a request at crashes of upstreams.
+    /// What the sender has found out about a request during which upstreams crashed.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub finding: Option<Rc<CrashFinding>>,
 }
--- a/src/protocol/operator_views.rs
+++ b/src/protocol/operator_views.rs
@@ -1,6 +1,6 @@
-//! What a node tells operators' tools, and what they tell it.
+//! JSON documents that a node's operators' interface returns.
 //!
-//! Tools and nodes of different versions talk to each other: a field that is missing has its default.
+//! Tools and nodes may be of different versions: a missing field has its default.
 
 use crate::state::{
     configuration::ConfigurationVersion,
@@ -10,102 +10,103 @@
 use serde::{Deserialize, Serialize};
 use std::{collections::BTreeSet, net::SocketAddr};
 
-/// Share of a class's requests that are to be answered within its target.
+/// Share of a class's requests, from 0 to 1, that has to be answered within the class's latency target.
 pub const REQUIRED_ON_TARGET_SHARE: f64 = 0.99;
 
-/// All that a node tells of itself.
+/// The state of a node, of its local upstream and of what it knows about other nodes.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct NodeStatus {
-    /// Its name.
+    /// Name of the node.
     pub node: Option<NodeName>,
-    /// Its availability zone.
+    /// Availability zone of the node's VM.
     pub availability_zone: Option<AvailabilityZoneName>,
-    /// Service of its upstream.
+    /// Service of the local upstream.
     pub service: Option<ServiceName>,
-    /// Time since its start, in milliseconds.
+    /// Time since the node started, in milliseconds.
     pub up_ms: u64,
-    /// Version of the configuration in force.
+    /// Version of the configuration in force; 0 before there is one.
     pub version: ConfigurationVersion,
-    /// Whether clients may bring requests.
+    /// Whether the node accepts requests of clients.
     pub ready: bool,
-    /// Whether it was told to stop.
+    /// Whether the node was asked to stop.
     pub stopping: bool,
-    /// Requests of its clients in progress.
+    /// Requests of the node's clients that are in progress.
     pub in_progress: usize,
-    /// The upstream beside it; none before it has announced itself.
+    /// The local upstream; `None` before it has announced itself.
     pub upstream: Option<UpstreamStatus>,
-    /// Classes of work that clients brought here.
+    /// Counts for each class of the requests that clients sent to this node.
     pub classes: Vec<ClassStatus>,
-    /// Availability zones that get no requests, as far as it knows.
+    /// Evacuated availability zones, which get no requests, as far as this node knows.
     pub evacuated_zones: BTreeSet<AvailabilityZoneName>,
-    /// The other nodes it knows.
+    /// The other nodes that this node knows.
     pub peers: Vec<PeerStatus>,
 }
 
-/// An upstream as the node beside it knows it.
+/// The local upstream of a node.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct UpstreamStatus {
-    /// Its run.
+    /// Identifier that the upstream's current incarnation announced.
     pub instance: String,
-    /// It takes no new work.
+    /// Whether the upstream accepts no new requests.
     pub leaving: bool,
-    /// Requests it runs at once, by its own word.
+    /// Requests that the upstream can run at once, as it announced.
     pub slots: u16,
-    /// Requests that the node lets it run at once.
+    /// Requests that the node lets the upstream run at once.
     pub limit: u16,
-    /// Requests that run.
+    /// Requests that the upstream is running.
     pub running: u16,
-    /// Requests that wait.
+    /// Requests that wait at the node for a slot.
     pub queued: u16,
-    /// How long work takes now, in percent of the usual.
+    /// Current time that requests take, in percent of their usual time.
     pub slowdown_percent: u16,
-    /// Share of the last requests that failed there, in percent.
+    /// Share of the last requests that failed at the upstream, in percent.
     pub failed_percent: u8,
-    /// Questions for its load so far.
+    /// Load probes that the node has sent to the upstream so far.
     pub probes: u64,
 }
 
-/// A class of work at the node that took its requests, since the node's start.
+/// Counts of a class's requests at the node to which clients sent them, since the node's start.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct ClassStatus {
     /// The class.
     pub class: Option<ClassName>,
-    /// Its target in milliseconds.
+    /// Latency target of the class, in milliseconds.
     pub target_ms: u64,
     /// Requests that ended.
     pub requests: u64,
-    /// Answered by an upstream.
+    /// Requests that an upstream answered.
     pub answered: u64,
-    /// Answered within the target.
+    /// Requests that an upstream answered within the latency target.
     pub on_target: u64,
-    /// Refused without having run.
+    /// Requests that were refused without having run.
     pub refused: u64,
-    /// Ended without it being known whether they ran.
+    /// Requests of which it is unknown whether they ran.
     pub unknown: u64,
-    /// Least bound in milliseconds that half of the answers lie within.
+    /// Upper limit, in milliseconds, of the histogram bucket that holds the median latency of the answers; `None` if
+    /// there are no answers or the latency is above the last bucket.
     pub p50_ms: Option<u64>,
-    /// Least bound in milliseconds that 99 of 100 answers lie within.
+    /// The same for the 99th percentile of the latency.
     pub p99_ms: Option<u64>,
 }
 
 impl ClassStatus {
-    /// Share of its requests answered within the target; 1 if there were none.
+    /// Share of the class's requests that were answered within the latency target; 1 if there were none.
     #[must_use]
     pub fn on_target_share(&self) -> f64 {
         compute_share(self.on_target, self.requests)
     }
 
-    /// Whether the class meets its target.
+    /// Whether the share of requests on target is at least [`REQUIRED_ON_TARGET_SHARE`].
     #[must_use]
     pub fn meets_target(&self) -> bool {
         self.on_target_share() >= REQUIRED_ON_TARGET_SHARE
     }
 }
 
-/// A part of a whole; 1 of nothing.
+/// `part` divided by `whole`; 1 if `whole` is 0.
 #[must_use]
 pub fn compute_share(part: u64, whole: u64) -> f64 {
     if whole == 0 {
@@ -116,68 +117,68 @@
     quotient
 }
 
-/// Another node, as this one knows it.
+/// What a node knows about another node.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct PeerStatus {
-    /// Its name.
+    /// Name of the other node.
     pub node: Option<NodeName>,
-    /// Where operators' tools reach it.
+    /// Address of the other node's operators' interface, if it has one.
     pub operators: Option<SocketAddr>,
-    /// Its upstream takes no new work.
+    /// Whether the other node's upstream accepts no new requests.
     pub leaving: bool,
-    /// Failures in a row to reach it.
+    /// Consecutive failures to reach the other node.
     pub failures: u32,
 }
 
-/// Answer to a drain or a question for health.
+/// Answer to a drain request and to a health check.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct NodeHealth {
-    /// Whether clients may bring requests.
+    /// Whether the node accepts requests of clients.
     pub ready: bool,
-    /// Whether the upstream takes no new work.
+    /// Whether the local upstream accepts no new requests.
     pub leaving: bool,
-    /// Requests that run at the upstream.
+    /// Requests that the local upstream is running.
     pub running: u16,
-    /// Requests that wait for it.
+    /// Requests that wait at the node for a slot.
     pub queued: u16,
 }
 
-/// Answer to an evacuation, or to the end of one.
+/// Answer to the evacuation or the restoration of an availability zone.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct EvacuationView {
-    /// Zones that are evacuated now.
+    /// Zones that are evacuated after the request.
     pub zones: BTreeSet<AvailabilityZoneName>,
 }
 
-/// Lines of a node's log, oldest first.
+/// Part of the log that a node keeps in memory.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct LogPage {
-    /// The lines, JSON each.
+    /// Log lines, oldest first; each is a JSON object.
     pub lines: Vec<String>,
-    /// Number to ask for next.
+    /// Number of the line after the last one of this page, from which to read on.
     pub next: u64,
-    /// Lines after the number asked for that the node no longer holds.
+    /// Number of the requested lines that the node no longer holds.
     pub dropped: u64,
 }
 
-/// Publications that are remembered.
+/// The latest publications of configurations.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct HistoryView {
-    /// The newest version in the store.
+    /// Version of the newest configuration in the store.
     pub in_force: ConfigurationVersion,
-    /// Accepted publications, the newest first.
+    /// Accepted publications, newest first.
     pub publications: Vec<PublicationEntry>,
 }
 
-/// A request that was not served.
+/// Body of an error response of the operators' interface.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct OperatorErrorBody {
-    /// What is wrong and what to do.
+    /// What went wrong and what the operator can do about it.
     pub error: String,
 }
--- a/src/protocol/outcome.rs
+++ b/src/protocol/outcome.rs
@@ -1,44 +1,48 @@
-//! Why a request was not run, or why it can't be told whether it was.
+//! Why a request was not executed, or why it is unknown whether it was.
+//!
+//! Nodes exchange these reasons by their serialized names, and log events hold them. A variant whose name in the
+//! code differs keeps its serialized name with `serde(rename)`.
 
 use serde::{Deserialize, Serialize};
 
-/// Why a request was not run. All of them prove that it did not and never will.
+/// Why a request was not executed. Each reason guarantees that this attempt did not run and never will.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RefusalReason {
-    /// No upstream of the service is known, or no configuration is.
+    /// No upstream of the service is known, or the node has no configuration yet.
     NoUpstream,
-    /// No route leads anywhere by the configuration in force, and the node has heard of a newer one.
+    /// No route of the configuration in force matches, and the node knows that a newer configuration exists.
     ConfigurationBehind,
-    /// Other nodes have long had a newer configuration than the one in force here.
+    /// Other nodes have had a newer configuration than this node for longer than is allowed.
     ConfigurationOverdue,
-    /// No slot is free in time.
+    /// No slot becomes free early enough for the request to end in time.
     QueueFull,
-    /// It can't end in time any more.
+    /// The request can't end before its deadline any more.
     DeadlineTooShort,
-    /// The deadline passed while it waited for a slot.
+    /// The deadline passed while the request waited for a slot.
     DeadlinePassed,
     /// Operators have evacuated the upstream's availability zone, or all zones of the service.
     Evacuated,
     /// The upstream is leaving, or the node is stopping.
     Draining,
-    /// The upstream has not announced itself, or can't be reached.
+    /// The upstream has not announced itself, or is unreachable.
     UpstreamDown,
-    /// The upstream refused it, saying that it did not run it.
+    /// The upstream refused the request and stated that it did not execute it.
     UpstreamShed,
-    /// No connection was opened, or no byte was handed to it.
+    /// No connection could be opened, or it ended before any byte of the request was written to it.
     NotSent,
-    /// The node's upstream is not of the service.
+    /// The local upstream of the node that was asked belongs to another service.
     UnknownClass,
-    /// It would be a repeat, and the calls that it makes again are not within what operators allow.
+    /// The attempt is a retry, and the calls that it would make again exceed the retry budget that operators allow.
     #[serde(rename = "repeats_spent")]
     RetryBudgetExhausted,
-    /// Upstreams that ran a request for the same thing have crashed.
+    /// Upstreams have crashed while they ran requests with the same fingerprint.
     Quarantined,
 }
 
 impl RefusalReason {
-    /// Whether the node that refused so takes no work at all for a while.
+    /// Whether the reason holds for every request of the service at that node, not only for the refused one. Such a
+    /// node is left out for a while.
     #[must_use]
     pub const fn is_node_wide(self) -> bool {
         matches!(
@@ -52,19 +56,19 @@
     }
 }
 
-/// Why it can't be told whether a request ran.
+/// Why it is unknown whether a request was executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum UnknownCause {
-    /// The connection to the upstream broke after the request was handed to it.
+    /// The connection to the upstream ended after the request was sent on it and before the answer.
     #[serde(rename = "upstream_cut")]
     UpstreamDisconnected,
-    /// The upstream ended while it ran the request.
+    /// The upstream process ended while it ran the request.
     UpstreamCrashed,
-    /// The deadline passed while the upstream ran it.
+    /// The deadline passed while the upstream ran the request.
     DeadlinePassed,
-    /// The connection to the node beside the upstream broke.
+    /// The connection to the upstream's node broke.
     NodeLost,
-    /// The upstream's answer was malformed, cut short, too large or another request's.
+    /// The answer was malformed, truncated, too large or that of another request.
     BadAnswer,
 }
--- a/src/protocol/store.rs
+++ b/src/protocol/store.rs
@@ -1,7 +1,7 @@
-//! What nodes keep in a store that outlives them: the configuration, and a record of each node.
+//! Interface to the store, which keeps the configuration and a record of each node across restarts of the nodes.
 //!
-//! The store is an append-only log a topic, of which the newest record of each key stays for good. It may
-//! be away, slow, or take an append and lose the answer to it.
+//! The store has an append-only log per topic and keeps the newest record of each key for good. It may be unreachable
+//! or slow, or execute an append and lose the answer to it.
 
 use crate::state::{
     known_node::NodeRecord, names::AvailabilityZoneName, request_fingerprint::RequestFingerprint,
@@ -11,84 +11,86 @@
 use std::{future::Future, time::Duration};
 use thiserror::Error;
 
-/// What records are about.
+/// A topic of the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum StoreTopic {
-    /// The configuration: one key.
+    /// The configuration under one key, and a key for each evacuated availability zone.
     Configuration,
-    /// The nodes, a key each, and requests in quarantine.
+    /// A key for each node's record, and one for each request in quarantine.
     Nodes,
 }
 
-/// Why a call to the store gave nothing.
+/// Why a call to the store failed.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum StoreError {
-    /// Nothing was done: the store refused, or no byte reached it.
+    /// The call was not executed: the store refused it, or no byte of it was sent.
     #[error("not done: {0}")]
     NotDone(String),
-    /// No answer came; an append may be done now or later.
+    /// No answer came. An append may have been executed, or may still be.
     #[error("no answer")]
     NoAnswer,
-    /// The records asked for have been deleted.
+    /// The store has deleted the requested records.
     #[error("records have been deleted")]
     Deleted,
-    /// The store has come back from a copy: another record stands at the place asked for, or none.
-    #[error("the store has come back from a copy")]
+    /// The store was restored from a copy: at the requested position it has another record or none.
+    #[error("the store was restored from a copy")]
     EpochChanged,
-    /// The answer is not what the store's description says.
-    #[error("malformed answer: {0}")]
+    /// The store's answer can't be decoded, or a record that is to be appended can't be encoded.
+    #[error("malformed data: {0}")]
     Malformed(&'static str),
 }
 
-/// A record. Without a value the key has been dropped.
+/// A record of a topic.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KeyedRecord {
-    /// The key.
+    /// Key of the record.
     pub key: String,
-    /// The value.
+    /// Value of the record; `None` if the record deletes its key.
     pub value: Option<Bytes>,
-    /// Its place in the topic, packed ([`StorePosition`](crate::state::store_position::StorePosition)).
+    /// Position in the topic, packed ([`StorePosition`](crate::state::store_position::StorePosition)).
     pub position: u64,
 }
 
-/// Newest records, or the records after a place, and the place to go on from.
+/// The result of a read: records, and the position from which to read on.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RecordBatch {
-    /// In the order of the log.
+    /// The records, in the order of the log.
     pub records: Vec<KeyedRecord>,
-    /// Place of the next record, packed ([`StorePosition`](crate::state::store_position::StorePosition)).
+    /// Position of the next record, packed ([`StorePosition`](crate::state::store_position::StorePosition)).
     pub next: u64,
 }
 
-/// Start of the keys among the nodes under which the store holds requests in quarantine.
-const QUARANTINE_KEY: &str = "quarantine/";
+/// Prefix of the keys of requests in quarantine, in the topic of the nodes.
+const QUARANTINE_KEY_PREFIX: &str = "quarantine/";
 
-/// Key among the nodes under which the store holds that a request is in quarantine.
+/// Key in the topic of the nodes under which the store holds that a request is in quarantine.
 ///
-/// It has a key of its own: a node that starts writes its own record anew, maybe before it has read the former one.
+/// The quarantine is not part of a node's record: a node that starts writes its own record again, perhaps before it
+/// has read the previous one, and a quarantine in that record would be lost.
 #[must_use]
-pub fn quarantine_key(digest: RequestFingerprint) -> String {
-    format!("{QUARANTINE_KEY}{digest}")
+pub fn quarantine_key(fingerprint: RequestFingerprint) -> String {
+    format!("{QUARANTINE_KEY_PREFIX}{fingerprint}")
 }
 
-/// Its value. The key says it all.
+/// Value of the record of a request in quarantine: an empty JSON object, as the key holds the fingerprint.
 pub const QUARANTINE_VALUE: &[u8] = b"{}";
 
-/// The request in quarantine that a key among the nodes is about, if it is about one.
+/// The fingerprint in a key of the topic of the nodes; `None` if it is not the key of a request in quarantine.
 #[must_use]
 pub fn parse_quarantine_key(key: &str) -> Option<RequestFingerprint> {
-    key.strip_prefix(QUARANTINE_KEY)?.parse().ok()
+    key.strip_prefix(QUARANTINE_KEY_PREFIX)?.parse().ok()
 }
 
-/// A client of the store, as a node uses it.
+/// A client of the store.
 pub trait StateStore: Clone + 'static {
-    /// The newest record of each key.
+    /// Reads the newest record of each key of a topic.
     fn read_newest(
         &self,
         topic: StoreTopic,
     ) -> impl Future<Output = Result<RecordBatch, StoreError>>;
 
-    /// Records from a place on, as soon as there is one; none after `wait`.
+    /// Reads the records from the packed position `from` on. If there are none yet, waits for one for at most `wait`,
+    /// then returns an empty batch.
     fn read_from(
         &self,
         topic: StoreTopic,
@@ -96,7 +98,7 @@
         wait: Duration,
     ) -> impl Future<Output = Result<RecordBatch, StoreError>>;
 
-    /// Appends a node's record, encoded as `value`, under the key of that node.
+    /// Appends a node's record, encoded as `value`, under the node's key.
     fn append_node(
         &self,
         record: &NodeRecord,
@@ -106,56 +108,59 @@
     /// The key under which a node's record is kept.
     fn get_node_key(&self, record: &NodeRecord) -> String;
 
-    /// Appends that a request is in quarantine, or drops that, under [`quarantine_key`].
+    /// Appends a record under [`quarantine_key`]: [`QUARANTINE_VALUE`] if the request is in quarantine, else one that
+    /// deletes the key.
     fn append_quarantine(
         &self,
-        digest: RequestFingerprint,
+        fingerprint: RequestFingerprint,
         is_quarantined: bool,
     ) -> impl Future<Output = Result<(), StoreError>>;
 
-    /// Drops the record of a node, if the topic still ends at the place `expected_end`.
+    /// Deletes the record of a node, if the topic still ends at the packed position `expected_end`.
     fn delete_node(
         &self,
         record: &NodeRecord,
         expected_end: u64,
     ) -> impl Future<Output = Result<ConditionalAppend, StoreError>>;
 
-    /// The routing table of a record of the configuration; none if the record holds something else.
+    /// Decodes the routing table in a record of the configuration topic; `None` if the record holds something else.
     ///
     /// # Errors
-    /// What is wrong with the record, for the log.
+    /// Why the record can't be decoded, as text for the log.
     fn decode_table(&self, record: &KeyedRecord) -> Option<Result<RoutingTable, String>>;
 
-    /// The availability zone whose evacuation a record of the configuration is about: evacuated with a value, taken back without
-    /// one. None if the record is about something else.
+    /// The availability zone that a record of the configuration topic evacuates, if the record has a value, or
+    /// restores, if it has none. `None` if the record holds something else.
     ///
     /// # Errors
-    /// What is wrong with the record, for the log.
+    /// Why the record can't be decoded, as text for the log.
     fn decode_evacuated_zone(
         &self,
         record: &KeyedRecord,
     ) -> Option<Result<AvailabilityZoneName, String>>;
 }
 
-/// How a conditional append ended.
+/// Result of an append that depends on the position at which the topic ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConditionalAppend {
-    /// It is stored.
+    /// The record is stored.
     Stored,
-    /// Another record came first; nothing is stored.
+    /// The topic no longer ended at the expected position; nothing is stored.
     Conflict,
 }
 
-/// A store that the product's own operators' interface publishes to.
+/// A store to which a node's operators' interface can publish.
 pub trait PublicationStore: StateStore {
-    /// Appends a record of the configuration if the topic still ends at `expected_end`.
+    /// Appends a record under the configuration's key, if the configuration topic still ends at the packed position
+    /// `expected_end`.
     fn append_configuration(
         &self,
         value: &[u8],
         expected_end: u64,
     ) -> impl Future<Output = Result<ConditionalAppend, StoreError>>;
 
-    /// Appends that an availability zone is evacuated, or drops that.
+    /// Appends a record under the key of an availability zone's evacuation: one with a value if the zone is evacuated,
+    /// else one that deletes the key.
     fn append_evacuation(
         &self,
         zone: &AvailabilityZoneName,
