--- a/src/proxy/core.rs
+++ b/src/proxy/core.rs
@@ -22,7 +22,7 @@
         answered_requests::AnsweredRequests,
         class_bytes::ClassBytes,
         class_counts::ClassCounts,
-        crash_suspects::CrashSuspects,
+        crash_counts::CrashCounts,
         known_node::{NodeRecord, StoredRecord},
         names::{ClassName, ServiceName},
         quarantine::Quarantine,
@@ -104,7 +104,7 @@
     /// Until when this node reads the store in place of a node that can't reach it.
     substitute_reader_until: Cell<Timestamp>,
     /// Upstream crashes that this node counts, by request.
-    pub crash_suspects: RefCell<CrashSuspects>,
+    pub crash_counts: RefCell<CrashCounts>,
     /// Requests that no upstream gets, because they crash upstreams.
     pub quarantine: RefCell<Quarantine>,
     /// Requests that the current incarnation of the local upstream has answered.
@@ -147,7 +147,7 @@
             evacuations: EvacuationsInForce::default(),
             table_applied: Notify::new(),
             substitute_reader_until: Cell::default(),
-            crash_suspects: RefCell::default(),
+            crash_counts: RefCell::default(),
             quarantine: RefCell::default(),
             answered_requests: RefCell::default(),
             quarantine_writes: flume::unbounded(),
--- a/src/proxy/crash_detection.rs
+++ b/src/proxy/crash_detection.rs
@@ -14,10 +14,10 @@
     },
     state::{
         ablation::Mechanism,
-        crash_suspects::CRASHES_TO_QUARANTINE,
+        crash_counts::QUARANTINE_CRASH_THRESHOLD,
         incarnation_id::IncarnationId,
         names::ServiceName,
-        quarantine::{QUARANTINE, QuarantineSource},
+        quarantine::{QUARANTINE_DURATION, QuarantineSource},
         request_fingerprint::RequestFingerprint,
     },
 };
@@ -179,15 +179,15 @@
 
 fn count_crash(core: &Rc<ProxyCore>, digest: RequestFingerprint, run: &IncarnationId) {
     let now = core.timers.now();
-    let mut suspects = core.crash_suspects.borrow_mut();
-    let crashes = suspects.note_crash(digest, run.clone(), now);
+    let mut suspects = core.crash_counts.borrow_mut();
+    let crashes = suspects.record_crash(digest, run.clone(), now);
     drop(suspects);
     core.log(&ProxyEvent::CrashCounted {
         digest,
         instance: run.instance.clone(),
         crashes,
     });
-    if crashes >= CRASHES_TO_QUARANTINE
+    if crashes >= QUARANTINE_CRASH_THRESHOLD
         && put_in_quarantine(core, digest, QuarantineSource::Counted)
     {
         tell_all(core, CrashFinding::Quarantined(digest));
@@ -211,7 +211,7 @@
 fn drop_when_over(core: &Rc<ProxyCore>, digest: RequestFingerprint) {
     let core = Rc::clone(core);
     spawn_local(async move {
-        let _ = core.timers.after(QUARANTINE).recv_async().await;
+        let _ = core.timers.after(QUARANTINE_DURATION).recv_async().await;
         if core.is_mesh_coordinator() {
             write(&core, digest);
         }
@@ -225,7 +225,7 @@
 }
 
 fn take_answered(core: &ProxyCore, digest: RequestFingerprint) {
-    core.crash_suspects.borrow_mut().note_answered(digest);
+    core.crash_counts.borrow_mut().record_answer(digest);
     let now = core.timers.now();
     let lifted = core.quarantine.borrow_mut().lift(digest, now);
     let Some(source) = lifted else {
--- a/src/state.rs
+++ b/src/state.rs
@@ -5,7 +5,7 @@
 pub mod class_bytes;
 pub mod class_counts;
 pub mod configuration;
-pub mod crash_suspects;
+pub mod crash_counts;
 pub mod evacuations;
 pub mod failure_share;
 pub mod incarnation_id;
--- a/src/state/crash_suspects.rs
+++ b/src/state/crash_counts.rs
@@ -13,7 +13,7 @@
 };
 
 /// Crashed runs from which on a request counts as what crashes them.
-pub const CRASHES_TO_QUARANTINE: usize = 3;
+pub const QUARANTINE_CRASH_THRESHOLD: usize = 3;
 /// Time for which a crash is remembered after the last one under the same request.
 const REMEMBERED: Duration = Duration::from_mins(30);
 /// Requests of which crashes are remembered, those with the latest. Without a bound a service whose upstreams crash again and
@@ -29,13 +29,13 @@
 
 /// Requests that were at upstreams when these crashed, and were not answered since.
 #[derive(Clone, Debug, Default)]
-pub struct CrashSuspects {
+pub struct CrashCounts {
     suspects: BTreeMap<RequestFingerprint, Suspect>,
 }
 
-impl CrashSuspects {
+impl CrashCounts {
     /// Takes in that a run crashed while it ran a request; returns the crashed runs of that request so far.
-    pub fn note_crash(
+    pub fn record_crash(
         &mut self,
         digest: RequestFingerprint,
         run: IncarnationId,
@@ -54,7 +54,7 @@
     }
 
     /// Takes in that an upstream has answered a request.
-    pub fn note_answered(&mut self, digest: RequestFingerprint) {
+    pub fn record_answer(&mut self, digest: RequestFingerprint) {
         self.suspects.remove(&digest);
     }
 
--- a/src/state/quarantine.rs
+++ b/src/state/quarantine.rs
@@ -8,7 +8,7 @@
 
 /// Time for which a request is kept from upstreams: what is wrong with the upstreams may have been mended by then. If not, some
 /// more of them crash until it is known again.
-pub const QUARANTINE: Duration = Duration::from_mins(15);
+pub const QUARANTINE_DURATION: Duration = Duration::from_mins(15);
 /// Time for which a request that was let go can't be put back on another node's word. What was told before it was let go may still be
 /// under way, or stand in a record that is about to be written again.
 const LIFT_HOLDS: Duration = Duration::from_mins(1);
@@ -62,7 +62,7 @@
         if is_lifted || self.requests.contains_key(&digest) {
             return false;
         }
-        let until = now + QUARANTINE;
+        let until = now + QUARANTINE_DURATION;
         self.requests.insert(digest, Quarantined { until, source });
         if self.requests.len() > MAX_QUARANTINED {
             self.release_oldest();
--- a/tests/integration/crash_counting.rs
+++ b/tests/integration/crash_counting.rs
@@ -9,9 +9,9 @@
     },
     state::{
         answered_requests::AnsweredRequests,
-        crash_suspects::{CRASHES_TO_QUARANTINE, CrashSuspects},
+        crash_counts::{CrashCounts, QUARANTINE_CRASH_THRESHOLD},
         incarnation_id::IncarnationId,
-        quarantine::{QUARANTINE, Quarantine, QuarantineSource},
+        quarantine::{QUARANTINE_DURATION, Quarantine, QuarantineSource},
         request_fingerprint::RequestFingerprint,
         timestamp::Timestamp,
     },
@@ -63,15 +63,15 @@
     check!()
         .with_type::<Vec<(u8, bool)>>()
         .for_each(|steps: &Vec<(u8, bool)>| {
-            let mut suspects = CrashSuspects::default();
+            let mut suspects = CrashCounts::default();
             let mut seen = BTreeSet::new();
             for (number, other) in steps {
                 if *other {
-                    suspects.note_crash(digest(2), run(*number), Timestamp(0));
+                    suspects.record_crash(digest(2), run(*number), Timestamp(0));
                     continue;
                 }
                 seen.insert(*number);
-                let crashes = suspects.note_crash(digest(1), run(*number), Timestamp(0));
+                let crashes = suspects.record_crash(digest(1), run(*number), Timestamp(0));
                 assert_eq!(crashes, seen.len());
             }
         });
@@ -79,36 +79,39 @@
 
 #[test]
 fn answered_request_counts_anew() {
-    let mut suspects = CrashSuspects::default();
+    let mut suspects = CrashCounts::default();
     for number in 1..3 {
-        suspects.note_crash(digest(1), run(number), Timestamp(0));
+        suspects.record_crash(digest(1), run(number), Timestamp(0));
     }
-    suspects.note_answered(digest(1));
-    assert_eq!(suspects.note_crash(digest(1), run(3), Timestamp(0)), 1);
+    suspects.record_answer(digest(1));
+    assert_eq!(suspects.record_crash(digest(1), run(3), Timestamp(0)), 1);
 }
 
 /// After its quarantine a request is let to upstreams again. If it still crashes them, the first one is enough.
 #[test]
 fn crashes_outlast_the_quarantine() {
-    let mut suspects = CrashSuspects::default();
+    let mut suspects = CrashCounts::default();
     for number in 1..=3 {
-        suspects.note_crash(digest(1), run(number), Timestamp(0));
+        suspects.record_crash(digest(1), run(number), Timestamp(0));
     }
-    let later = Timestamp(0) + QUARANTINE + Duration::from_mins(1);
-    assert!(suspects.note_crash(digest(1), run(4), later) > CRASHES_TO_QUARANTINE);
+    let later = Timestamp(0) + QUARANTINE_DURATION + Duration::from_mins(1);
+    assert!(suspects.record_crash(digest(1), run(4), later) > QUARANTINE_CRASH_THRESHOLD);
 }
 
 /// Upstreams that crash again and again, whatever they run, would fill the memory with what they ran.
 #[test]
 fn suspects_are_bounded() {
-    let mut suspects = CrashSuspects::default();
+    let mut suspects = CrashCounts::default();
     for number in 0..20_000 {
-        suspects.note_crash(digest(number), run(1), Timestamp(number));
+        suspects.record_crash(digest(number), run(1), Timestamp(number));
     }
     // The oldest are forgotten, the newest known.
-    assert_eq!(suspects.note_crash(digest(0), run(2), Timestamp(20_000)), 1);
     assert_eq!(
-        suspects.note_crash(digest(19_999), run(2), Timestamp(20_001)),
+        suspects.record_crash(digest(0), run(2), Timestamp(20_000)),
+        1
+    );
+    assert_eq!(
+        suspects.record_crash(digest(19_999), run(2), Timestamp(20_001)),
         2
     );
 }
@@ -118,13 +121,13 @@
     let mut quarantine = Quarantine::default();
     assert!(quarantine.put(digest(1), QuarantineSource::Told, Timestamp(0)));
     assert!(!quarantine.put(digest(1), QuarantineSource::Told, Timestamp(1)));
-    let nearly = Timestamp(0) + QUARANTINE - Duration::from_secs(1);
+    let nearly = Timestamp(0) + QUARANTINE_DURATION - Duration::from_secs(1);
     assert_eq!(
         quarantine.time_left(digest(1), nearly),
         Some(Duration::from_secs(1))
     );
     assert_eq!(
-        quarantine.time_left(digest(1), Timestamp(0) + QUARANTINE),
+        quarantine.time_left(digest(1), Timestamp(0) + QUARANTINE_DURATION),
         None
     );
     assert_eq!(quarantine.time_left(digest(2), nearly), None);
