--- a/src/proxy/directory.rs
+++ b/src/proxy/directory.rs
@@ -46,9 +46,9 @@
     stored_table: Option<StoredTable>,
     /// By the address where they take requests from nodes.
     pub nodes: BTreeMap<SocketAddr, KnownNode>,
-    shared: BTreeMap<SocketAddr, ConfigurationVersion>,
+    known_versions: BTreeMap<SocketAddr, ConfigurationVersion>,
     /// Revision up to which the store's records of nodes are known here.
-    read_up_to: u64,
+    read_position: u64,
 }
 
 impl Directory {
@@ -78,7 +78,7 @@
     }
 
     /// Notes a table that the store holds.
-    pub fn note_stored_table(&mut self, table: StoredTable) {
+    pub fn record_stored_table(&mut self, table: StoredTable) {
         if self
             .stored_table
             .is_none_or(|known| table.next > known.next)
@@ -113,7 +113,7 @@
     /// What another node tells from a part of the store that is known here, though nothing of that node is, has been
     /// dropped since. Without this check it would come back with whoever has not heard of it.
     pub fn apply_record(&mut self, stored: StoredRecord, source: StateSource) -> bool {
-        let is_known_part = (1..=self.read_up_to).contains(&stored.revision);
+        let is_known_part = (1..=self.read_position).contains(&stored.revision);
         let is_unknown = !self.nodes.contains_key(&stored.record.address);
         if source == StateSource::Peer && is_known_part && is_unknown {
             return false;
@@ -168,14 +168,14 @@
     }
 
     /// Notes that all records of nodes up to a revision have been read from the store.
-    pub fn note_read(&mut self, up_to: u64) {
-        self.read_up_to = self.read_up_to.max(up_to);
+    pub fn advance_read_position(&mut self, up_to: u64) {
+        self.read_position = self.read_position.max(up_to);
     }
 
     /// Revision up to which the store's records of nodes are known here, which is the offset of its next record.
     #[must_use]
-    pub const fn read_up_to(&self) -> u64 {
-        self.read_up_to
+    pub const fn read_position(&self) -> u64 {
+        self.read_position
     }
 
     /// Forgets nodes whose records the store had up to a revision and has no longer; returns them.
@@ -190,7 +190,7 @@
         let dropped: Vec<NodeRecord> = dropped.map(|view| view.record.clone()).collect();
         for record in &dropped {
             self.nodes.remove(&record.address);
-            self.shared.remove(&record.address);
+            self.known_versions.remove(&record.address);
         }
         dropped
     }
@@ -214,14 +214,14 @@
     }
 
     /// Notes that a node is known to have a version, so that it is not sent to it.
-    pub fn note_version(&mut self, address: SocketAddr, version: ConfigurationVersion) {
-        self.shared.insert(address, version);
+    pub fn record_version(&mut self, address: SocketAddr, version: ConfigurationVersion) {
+        self.known_versions.insert(address, version);
     }
 
     /// Whether a node is known to have the version in force.
     #[must_use]
     pub fn has_version(&self, address: SocketAddr) -> bool {
-        let known = self.shared.get(&address);
+        let known = self.known_versions.get(&address);
         known.is_some_and(|version| *version >= self.version())
     }
 
--- a/src/proxy/evacuating.rs
+++ b/src/proxy/evacuating.rs
@@ -69,7 +69,7 @@
     }
 
     /// Records the position reported by another node.
-    pub fn note_position(&self, address: SocketAddr, position: u64) {
+    pub fn record_position(&self, address: SocketAddr, position: u64) {
         self.positions.borrow_mut().insert(address, position);
     }
 
@@ -210,7 +210,7 @@
     let answer = exchange_state(core, to, &build_message(core)).await;
     let position = answer.and_then(|(answer, _)| answer.evacuations_position);
     if let Some(position) = position {
-        core.evacuations.note_position(to, position);
+        core.evacuations.record_position(to, position);
     }
 }
 
--- a/src/proxy/retiring.rs
+++ b/src/proxy/retiring.rs
@@ -140,7 +140,7 @@
 /// Drops the record if the store has nothing newer than what is known here: the node may have been started
 /// anew and have written it again meanwhile.
 async fn drop_record<S: StateStore>(core: &Rc<ProxyCore>, store: &S, suspect: SocketAddr) {
-    let end = core.directory.borrow().read_up_to();
+    let end = core.directory.borrow().read_position();
     let Some(record) = core.directory.borrow().find_record(suspect) else {
         return;
     };
--- a/src/proxy/state_sharing.rs
+++ b/src/proxy/state_sharing.rs
@@ -131,11 +131,12 @@
     }
     send_along_tree(core, &forward_to, &message);
     if let Some(table) = message.stored_table {
-        core.directory.borrow_mut().note_stored_table(table);
+        core.directory.borrow_mut().record_stored_table(table);
     }
     if let Some(evacuations) = &message.evacuations {
         if let Some(from) = message.sender {
-            core.evacuations.note_position(from, evacuations.position());
+            core.evacuations
+                .record_position(from, evacuations.position());
         }
         apply_peer_evacuations(core, evacuations);
     }
--- a/src/proxy/store_sync.rs
+++ b/src/proxy/store_sync.rs
@@ -110,7 +110,7 @@
                 Ok(records) => {
                     retries.record_success();
                     next = Some(records.next);
-                    let read = self.note_read(topic, &records, from.is_none());
+                    let read = self.track_read(topic, &records, from.is_none());
                     self.apply_records(topic, &records, read).await;
                 }
                 Err(StoreError::Deleted | StoreError::EpochChanged) => {
@@ -195,13 +195,18 @@
     }
 
     /// Records how far the topic has been read, and logs if the store was restored from a backup copy.
-    fn note_read(&self, topic: StoreTopic, records: &RecordBatch, is_full_read: bool) -> TopicRead {
+    fn track_read(
+        &self,
+        topic: StoreTopic,
+        records: &RecordBatch,
+        is_full_read: bool,
+    ) -> TopicRead {
         let core = &self.core;
-        let before = self.read_progress.read_up_to();
+        let before = self.read_progress.read_position();
         let now = core.timers.now();
         let read = self
             .read_progress
-            .note_read(records.next, is_full_read, now);
+            .track_read(records.next, is_full_read, now);
         if read == TopicRead::FirstAfterRestore {
             core.log(&ProxyEvent::StoreRestored {
                 what: name_topic(topic),
--- a/src/proxy/store_sync/configuration.rs
+++ b/src/proxy/store_sync/configuration.rs
@@ -51,7 +51,7 @@
                     core.apply_table(table, StateSource::Store);
                     let next = record.position.saturating_add(1);
                     let mut directory = core.directory.borrow_mut();
-                    directory.note_stored_table(StoredTable { version, next });
+                    directory.record_stored_table(StoredTable { version, next });
                 }
                 Some(Err(error)) => core.log(&ProxyEvent::ConfigurationRejected { error }),
                 None => {}
--- a/src/proxy/store_sync/nodes.rs
+++ b/src/proxy/store_sync/nodes.rs
@@ -67,7 +67,9 @@
                 .collect();
             self.remove_nodes(|key| !kept.contains(key), records.next);
         }
-        core.directory.borrow_mut().note_read(records.next);
+        core.directory
+            .borrow_mut()
+            .advance_read_position(records.next);
         core.mark_node_records_read();
         if is_full_read {
             new_records = find_records_to_share(core, new_records, own.as_ref());
--- a/src/proxy/store_sync/restored_store.rs
+++ b/src/proxy/store_sync/restored_store.rs
@@ -51,14 +51,14 @@
 #[derive(Default)]
 pub(super) struct ReadProgress {
     /// Packed position up to which this node has read the topic; 0 if it has not.
-    read_up_to: Cell<u64>,
+    read_position: Cell<u64>,
     reread_due: Cell<Option<Timestamp>>,
 }
 
 impl ReadProgress {
     /// Packed position up to which this node has read the topic; 0 if it has not.
-    pub(super) fn read_up_to(&self) -> u64 {
-        self.read_up_to.get()
+    pub(super) fn read_position(&self) -> u64 {
+        self.read_position.get()
     }
 
     /// Whether the second full read after a restore is due.
@@ -67,8 +67,8 @@
     }
 
     /// Records a read up to the position `next`. `is_full_read` tells whether it returned the newest record of each key.
-    pub(super) fn note_read(&self, next: u64, is_full_read: bool, now: Timestamp) -> TopicRead {
-        let before = self.read_up_to.replace(next);
+    pub(super) fn track_read(&self, next: u64, is_full_read: bool, now: Timestamp) -> TopicRead {
+        let before = self.read_position.replace(next);
         if !is_full_read {
             return TopicRead::Incremental;
         }
@@ -129,7 +129,7 @@
             core.apply_record(stored, StateSource::Store);
         }
     }
-    core.directory.borrow_mut().note_read(next);
+    core.directory.borrow_mut().advance_read_position(next);
     core.mark_node_records_read();
     write_lost_quarantines(core, quarantined);
     request_record_rewrites(core, &lost_records, epoch);
--- a/src/proxy/table_fetching.rs
+++ b/src/proxy/table_fetching.rs
@@ -48,7 +48,7 @@
     version: ConfigurationVersion,
 ) -> (ConfigurationVersion, Timestamp) {
     let mut directory = core.directory.borrow_mut();
-    directory.note_version(from, version);
+    directory.record_version(from, version);
     let (own, now) = (directory.version(), core.timers.now());
     core.version_lag.borrow_mut().note_report(version, own, now);
     (own, now)
@@ -200,7 +200,7 @@
         core.apply_table(table, StateSource::Peer);
     }
     if let Some(stored) = answer.stored_table {
-        core.directory.borrow_mut().note_stored_table(stored);
+        core.directory.borrow_mut().record_stored_table(stored);
     }
     Ok(())
 }
--- a/src/proxy/table_offering.rs
+++ b/src/proxy/table_offering.rs
@@ -85,7 +85,7 @@
     };
     let answer = exchange_state(core, to, &message).await;
     if let Some(has) = answer.and_then(|(answer, _)| answer.offered_version) {
-        core.directory.borrow_mut().note_version(to, has);
+        core.directory.borrow_mut().record_version(to, has);
     }
 }
 
--- a/tests/integration/retiring.rs
+++ b/tests/integration/retiring.rs
@@ -182,7 +182,7 @@
 fn take_record_dropped_stays_dropped() {
     let mut directory = Directory::default();
     assert!(directory.apply_record(stored(1, 3), StateSource::Store));
-    directory.note_read(4);
+    directory.advance_read_position(4);
     let dropped = directory.remove_dropped(4, |known| known.address == address(1));
     assert_eq!(dropped.len(), 1);
     assert!(!directory.apply_record(stored(1, 3), StateSource::Peer));
--- a/tests/integration/retiring_model.rs
+++ b/tests/integration/retiring_model.rs
@@ -191,7 +191,7 @@
                 directory.remove_dropped(end, |_| true);
             }
         }
-        directory.note_read(end);
+        directory.advance_read_position(end);
     }
 
     fn stored(&self, revision: usize) -> StoredRecord {
--- a/tests/integration/store_copy.rs
+++ b/tests/integration/store_copy.rs
@@ -54,7 +54,7 @@
     ] {
         assert!(directory.apply_record(known, StateSource::Store));
     }
-    directory.note_read(
+    directory.advance_read_position(
         StorePosition {
             epoch: 1,
             offset: 7,
