--- a/src/coordination/placement.rs
+++ b/src/coordination/placement.rs
@@ -55,7 +55,7 @@
                 address: view.record.address,
                 near: view.record.availability_zone == *zone,
                 cost: estimate_cost(view, usual_failures, now) * weigh_silence(view, now),
-                told_finish: view.reported_completion_time(class, now),
+                told_finish: view.reported_finish(class, now),
             };
             (candidate, chance())
         })
@@ -91,7 +91,7 @@
     let slowdown = f64::from(load.slowdown_percent.max(100)) / 100.0;
     let busy = own.max(told * weight) + 1.0;
     let failures = load.failed_percent.saturating_sub(usual_failures);
-    if Mechanism::FailureWeighing.is_off() {
+    if Mechanism::FailurePenalty.is_disabled() {
         return busy / limit * (1.0 + (slowdown - 1.0) * weight);
     }
     let failing = 1.0 + FAILURE_COST * f64::from(failures) / 100.0;
@@ -99,7 +99,7 @@
 }
 
 fn weigh_silence(view: &KnownNode, now: Timestamp) -> f64 {
-    if Mechanism::SilenceWeighing.is_off() {
+    if Mechanism::SilencePenalty.is_disabled() {
         return 1.0;
     }
     let (from, doubles) = SILENCE;
--- a/src/coordination/slot_queue.rs
+++ b/src/coordination/slot_queue.rs
@@ -83,7 +83,7 @@
     /// Requests that can still be on time go before those of their priority that can't: work for an
     /// answer that is late already would make the next one late as well.
     fn rank(&self, now: Timestamp) -> (u8, bool) {
-        let priority = if Mechanism::Ranks.is_off() {
+        let priority = if Mechanism::Priorities.is_disabled() {
             0
         } else {
             self.priority
--- a/src/coordination/slot_search.rs
+++ b/src/coordination/slot_search.rs
@@ -97,12 +97,12 @@
             candidates.into_iter().partition(|candidate| candidate.near);
         let near: Vec<_> = near.into_iter().take(NEAR_ASKED).collect();
         let far_asked = match near.is_empty() {
-            _ if Mechanism::FarQuestions.is_off() => 0,
+            _ if Mechanism::CrossZoneRequests.is_disabled() => 0,
             true => FAR_ASKED_ALONE,
             false => FAR_ASKED,
         };
         let far: Vec<_> = far.into_iter().take(far_asked).collect();
-        let (share, each_kb) = if Mechanism::OwnZoneFirst.is_off() {
+        let (share, each_kb) = if Mechanism::LocalZonePreference.is_disabled() {
             (0.0, 0.0)
         } else {
             NEAR_SHARE
@@ -208,7 +208,7 @@
     #[must_use]
     pub fn find_come_back(&self, spread: f64) -> Duration {
         let (least, most) = COME_BACK;
-        if Mechanism::ComeBackTimes.is_off() {
+        if Mechanism::RetryAfterEstimate.is_disabled() {
             return least.mul_f64(spread);
         }
         let soonest = self.offers.iter().map(|offer| offer.finish).min();
--- a/src/coordination/store_reading.rs
+++ b/src/coordination/store_reading.rs
@@ -73,7 +73,7 @@
 /// What `own` reads for its zone; `others` are the other nodes of the zone that can be reached.
 #[must_use]
 pub fn find_reading_role(own: SocketAddr, others: impl Iterator<Item = SocketAddr>) -> ReadingRole {
-    if Mechanism::Readers.is_off() {
+    if Mechanism::StoreReaders.is_disabled() {
         return ReadingRole::First;
     }
     let own_rank = rank(own);
--- a/src/proxy/crash_detection.rs
+++ b/src/proxy/crash_detection.rs
@@ -84,7 +84,7 @@
         digest,
         answered_before,
     });
-    if answered_before || Mechanism::Quarantine.is_off() {
+    if answered_before || Mechanism::Quarantine.is_disabled() {
         return;
     }
     tell_keepers(
--- a/src/proxy/entry/attempt.rs
+++ b/src/proxy/entry/attempt.rs
@@ -185,7 +185,7 @@
 
     /// Sends no attempts to the node for a while.
     fn pause_node(&self) {
-        if Mechanism::LeavingOut.is_off() {
+        if Mechanism::NodeBackoff.is_disabled() {
             return;
         }
         let now = self.core.timers.now();
@@ -219,7 +219,7 @@
 
 /// Pauses attempts at a node that refuses all requests, whatever their class.
 fn pause_after_refusal(view: &mut KnownNode, reason: RefusalReason, now: Timestamp) {
-    if !Mechanism::LeavingOut.is_off() && reason.is_node_wide() {
+    if !Mechanism::NodeBackoff.is_disabled() && reason.is_node_wide() {
         view.backoff_until = now + REFUSAL_PAUSE;
     }
 }
--- a/src/proxy/entry/request_router.rs
+++ b/src/proxy/entry/request_router.rs
@@ -140,7 +140,7 @@
 
     fn start_hedge(&mut self) {
         // A request that waits for a slot gains nothing from a second upstream, so it is not hedged.
-        if Mechanism::Hedging.is_off() {
+        if Mechanism::Hedging.is_disabled() {
             return;
         }
         if self.in_flight.len() == 1 && !self.search.has_waited() && self.pay_for_retry() {
@@ -150,7 +150,7 @@
     }
 
     fn retry(&mut self) -> bool {
-        !Mechanism::Retries.is_off()
+        !Mechanism::Retries.is_disabled()
             && self.may_retry()
             && self.pay_for_retry()
             && self.try_next_node()
--- a/src/proxy/executing/dispatch.rs
+++ b/src/proxy/executing/dispatch.rs
@@ -61,7 +61,9 @@
         return (AttemptOutcome::Refused(RefusalReason::NotSent), None);
     };
     let rules = SendOptions {
-        reuse: ConnectionReuse::for_request(hop.idempotent || Mechanism::FreshConnections.is_off()),
+        reuse: ConnectionReuse::for_request(
+            hop.idempotent || Mechanism::FreshConnections.is_disabled(),
+        ),
         connect_timeout: CONNECT_TIMEOUT.min(time_left),
         idle_limit: IDLE_LIMIT,
         body_limit: BODY_LIMIT,
--- a/src/proxy/executing/slots.rs
+++ b/src/proxy/executing/slots.rs
@@ -122,7 +122,7 @@
 /// Requests that are let run at once at an upstream with that many slots.
 #[must_use]
 pub fn compute_slot_limit(slots: u16) -> usize {
-    if Mechanism::SlotLimit.is_off() {
+    if Mechanism::SlotLimit.is_disabled() {
         return usize::from(slots).max(1);
     }
     #[expect(
--- a/src/proxy/executing/slowdown.rs
+++ b/src/proxy/executing/slowdown.rs
@@ -134,7 +134,7 @@
 
 /// Asks for the pace unless it is known well enough.
 pub async fn refresh_pace(core: &Rc<ProxyCore>) {
-    if Mechanism::PaceQuestions.is_off() || !core.slots.pace.is_stale(core.timers.now()) {
+    if Mechanism::SlowdownProbes.is_disabled() || !core.slots.pace.is_stale(core.timers.now()) {
         return;
     }
     ask_for_pace(core).await;
--- a/src/proxy/peer_requests.rs
+++ b/src/proxy/peer_requests.rs
@@ -52,7 +52,9 @@
 ) -> Result<CompletedAttempt, SendError> {
     let request = build_hop(hop, req).ok_or(SendError::NotSent)?;
     let rules = SendOptions {
-        reuse: ConnectionReuse::for_request(hop.idempotent || Mechanism::FreshConnections.is_off()),
+        reuse: ConnectionReuse::for_request(
+            hop.idempotent || Mechanism::FreshConnections.is_disabled(),
+        ),
         connect_timeout: CONNECT_TIMEOUT,
         idle_limit: IDLE_LIMIT,
         body_limit: BODY_LIMIT,
--- a/src/state/ablation.rs
+++ b/src/state/ablation.rs
@@ -8,15 +8,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mechanism {
     /// The upstream is asked for the pace of its VM before a start.
-    PaceQuestions,
+    SlowdownProbes,
     /// A node whose upstream fails more requests than others is asked later.
-    FailureWeighing,
+    FailurePenalty,
     /// A node that says nothing is asked later.
-    SilenceWeighing,
+    SilencePenalty,
     /// A node that could not be reached, or takes no work, isn't asked for a while.
-    LeavingOut,
+    NodeBackoff,
     /// A refused client is told to come back once the queue is over, instead of after the least time.
-    ComeBackTimes,
+    RetryAfterEstimate,
     /// What must run once goes out on a connection that was used a moment ago, or on a new one.
     FreshConnections,
     /// A request is sent to a second upstream after the first failed.
@@ -24,17 +24,17 @@
     /// A late idempotent request is sent to a second upstream beside the first.
     Hedging,
     /// Requests wait by their priority.
-    Ranks,
+    Priorities,
     /// Nodes of other zones are asked for a slot.
-    FarQuestions,
+    CrossZoneRequests,
     /// The own zone is preferred while it answers soon enough.
-    OwnZoneFirst,
+    LocalZonePreference,
     /// What a node told with a refusal is its answer for a while.
-    ToldRefusals,
+    ReportedRefusals,
     /// The upstream gets fewer requests than it has slots.
     SlotLimit,
     /// Two nodes of a zone read the store for the others.
-    Readers,
+    StoreReaders,
     /// A request that crashes upstreams is kept from all of them.
     Quarantine,
 }
@@ -44,20 +44,20 @@
     #[must_use]
     pub const fn name(self) -> &'static str {
         match self {
-            Self::PaceQuestions => "pace_questions",
-            Self::FailureWeighing => "failure_weighing",
-            Self::SilenceWeighing => "silence_weighing",
-            Self::LeavingOut => "leaving_out",
-            Self::ComeBackTimes => "come_back_times",
+            Self::SlowdownProbes => "pace_questions",
+            Self::FailurePenalty => "failure_weighing",
+            Self::SilencePenalty => "silence_weighing",
+            Self::NodeBackoff => "leaving_out",
+            Self::RetryAfterEstimate => "come_back_times",
             Self::FreshConnections => "fresh_connections",
             Self::Retries => "retries",
             Self::Hedging => "hedging",
-            Self::Ranks => "ranks",
-            Self::FarQuestions => "far_questions",
-            Self::OwnZoneFirst => "own_zone_first",
-            Self::ToldRefusals => "told_refusals",
+            Self::Priorities => "ranks",
+            Self::CrossZoneRequests => "far_questions",
+            Self::LocalZonePreference => "own_zone_first",
+            Self::ReportedRefusals => "told_refusals",
             Self::SlotLimit => "slot_limit",
-            Self::Readers => "readers",
+            Self::StoreReaders => "readers",
             Self::Quarantine => "quarantine",
         }
     }
@@ -65,14 +65,14 @@
     /// Whether it is taken out of this process.
     #[cfg(not(feature = "ablation"))]
     #[must_use]
-    pub const fn is_off(self) -> bool {
+    pub const fn is_disabled(self) -> bool {
         false
     }
 
     /// Whether it is taken out of this process.
     #[cfg(feature = "ablation")]
     #[must_use]
-    pub fn is_off(self) -> bool {
+    pub fn is_disabled(self) -> bool {
         use std::sync::OnceLock;
         static WITHOUT: OnceLock<String> = OnceLock::new();
         let without =
--- a/src/state/known_node.rs
+++ b/src/state/known_node.rs
@@ -109,8 +109,8 @@
 
     /// Time in which a request of a class would end there, if it is known from a refusal that still holds.
     #[must_use]
-    pub fn reported_completion_time(&self, class: &ClassName, now: Timestamp) -> Option<Duration> {
-        if Mechanism::ToldRefusals.is_off() {
+    pub fn reported_finish(&self, class: &ClassName, now: Timestamp) -> Option<Duration> {
+        if Mechanism::ReportedRefusals.is_disabled() {
             return None;
         }
         let (told_at, finish) = *self.refusals.get(class)?;
--- a/tests/integration/proxy_decisions.rs
+++ b/tests/integration/proxy_decisions.rs
@@ -460,12 +460,9 @@
     view.record_refusal(&class, Duration::from_millis(200), Timestamp(0));
     let later = |millis: u64| Timestamp(millis * 1_000);
     assert_eq!(
-        view.reported_completion_time(&class, later(40)),
+        view.reported_finish(&class, later(40)),
         Some(Duration::from_millis(160))
     );
-    assert_eq!(view.reported_completion_time(&class, later(60)), None);
-    assert_eq!(
-        view.reported_completion_time(&"book".into(), later(0)),
-        None
-    );
+    assert_eq!(view.reported_finish(&class, later(60)), None);
+    assert_eq!(view.reported_finish(&"book".into(), later(0)), None);
 }
