--- a/src/proxy/directory.rs
+++ b/src/proxy/directory.rs
@@ -1,4 +1,4 @@
-//! The routing table in force and the nodes that are known.
+//! The routing table in force at this node and the nodes that it knows.
 
 use crate::{
     protocol::hop::{StateMessage, StoredTable},
@@ -16,7 +16,7 @@
     rc::Rc,
 };
 
-/// Where a piece of state came from.
+/// Source of a routing table, a node record or an evacuation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StateSource {
     /// The platform's store.
@@ -28,7 +28,7 @@
 }
 
 impl StateSource {
-    /// The word for the log.
+    /// Name of the source in the log.
     #[must_use]
     pub const fn name(self) -> &'static str {
         match self {
@@ -39,15 +39,16 @@
     }
 }
 
-/// The routing table in force and the nodes that are known.
+/// The routing table in force at this node and the nodes that it knows.
 #[derive(Default)]
 pub struct Directory {
     tables: TableHistory,
     stored_table: Option<StoredTable>,
-    /// By the address where they take requests from nodes.
+    /// Known nodes, by the address at which they accept requests from nodes.
     pub nodes: BTreeMap<SocketAddr, KnownNode>,
+    /// Versions of the routing table that other nodes are known to have, by address.
     known_versions: BTreeMap<SocketAddr, ConfigurationVersion>,
-    /// Revision up to which the store's records of nodes are known here.
+    /// Revision up to which the store's records of nodes have been read.
     read_position: u64,
 }
 
@@ -58,26 +59,26 @@
         self.tables.current().cloned()
     }
 
-    /// Its version; 0 if there is none.
+    /// Version of the routing table in force; 0 if there is none.
     #[must_use]
     pub fn version(&self) -> ConfigurationVersion {
         self.tables.version()
     }
 
-    /// Puts a table in force unless it is older than the present one. True if it was newer.
+    /// Puts a table in force if it is newer than the present one. Returns whether it was.
     pub fn apply_table(&mut self, table: RoutingTable) -> bool {
         self.tables.take(table)
     }
 
-    /// The table that a change makes of the one in force.
+    /// Builds the table that results when a change is applied to the one in force.
     ///
     /// # Errors
-    /// See [`ChangeError`].
+    /// If the change can't be applied to the table in force; see [`ChangeError`].
     pub fn apply_change(&self, change: &TableChange) -> Result<RoutingTable, ChangeError> {
         change.apply(self.tables.current().map(|current| current.table()))
     }
 
-    /// Notes a table that the store holds.
+    /// Records a table that the store holds, unless a later one is already recorded.
     pub fn record_stored_table(&mut self, table: StoredTable) {
         if self
             .stored_table
@@ -93,12 +94,12 @@
         self.stored_table
     }
 
-    /// Forgets where the store's topic of the configuration goes on.
+    /// Clears the recorded table, if the store no longer holds the records after it.
     pub fn clear_stored_table(&mut self) {
         self.stored_table = None;
     }
 
-    /// Where the store's topic of the configuration goes on after what is in force here; none if that is not known.
+    /// Position of the configuration topic from which to read, given the table in force; none if it is not known.
     #[must_use]
     pub fn configuration_resume_offset(&self) -> Option<u64> {
         let known = self.stored_table;
@@ -107,11 +108,10 @@
             .map(|table| table.next)
     }
 
-    /// Takes in what is told of a node, unless what is known comes from a later record. True if it was
-    /// news.
+    /// Applies a record of a node unless a later record of that node is known. Returns whether it changed what is known.
     ///
-    /// What another node tells from a part of the store that is known here, though nothing of that node is, has been
-    /// dropped since. Without this check it would come back with whoever has not heard of it.
+    /// If a peer sends a record of an unknown node from a part of the store that has already been read here, the record has
+    /// been deleted since. Without this check, peers that have not learned of the deletion would add the node again.
     pub fn apply_record(&mut self, stored: StoredRecord, source: StateSource) -> bool {
         let is_known_part = (1..=self.read_position).contains(&stored.revision);
         let is_unknown = !self.nodes.contains_key(&stored.record.address);
@@ -119,12 +119,12 @@
             return false;
         }
         match self.nodes.get_mut(&stored.record.address) {
-            Some(view) if stored.revision <= view.revision => false,
-            Some(view) if is_same_run(&view.record, &stored.record) => {
-                let news = view.record != stored.record;
-                view.record = stored.record;
-                view.revision = stored.revision;
-                news
+            Some(known) if stored.revision <= known.revision => false,
+            Some(known) if is_same_incarnation(&known.record, &stored.record) => {
+                let is_changed = known.record != stored.record;
+                known.record = stored.record;
+                known.revision = stored.revision;
+                is_changed
             }
             _ => {
                 let address = stored.record.address;
@@ -134,29 +134,32 @@
         }
     }
 
-    /// Compares what is known with the first read of all records after the store came back from a copy. Known records stay, since the
-    /// copy is older. Returns the nodes whose record the store has lost or holds in another state.
-    pub fn reconcile_with_restored_store(&mut self, copy: &[StoredRecord]) -> Vec<NodeRecord> {
-        let by_address: HashMap<SocketAddr, &StoredRecord> = copy
+    /// Compares the known records with the first full read after the store was restored from a copy, and updates their revisions.
+    /// Known records stay, since the copy is older. Returns the records that the store has lost or holds in another state.
+    pub fn reconcile_with_restored_store(
+        &mut self,
+        stored_records: &[StoredRecord],
+    ) -> Vec<NodeRecord> {
+        let by_address: HashMap<SocketAddr, &StoredRecord> = stored_records
             .iter()
             .map(|stored| (stored.record.address, stored))
             .collect();
-        let mut lost = Vec::new();
-        for (address, view) in &mut self.nodes {
+        let mut lost_records = Vec::new();
+        for (address, known) in &mut self.nodes {
             match by_address.get(address) {
-                Some(stored) if stored.record == view.record => view.revision = stored.revision,
-                _ => lost.push(view.record.clone()),
+                Some(stored) if stored.record == known.record => known.revision = stored.revision,
+                _ => lost_records.push(known.record.clone()),
             }
         }
-        lost
+        lost_records
     }
 
-    /// Takes in what this node itself has to tell; the store gives it a revision later.
+    /// Applies the record of this node. It has revision 0 until it is read from the store.
     pub fn apply_own_record(&mut self, record: NodeRecord) {
-        if let Some(view) = self.nodes.get_mut(&record.address) {
-            view.record = record;
-            // What an earlier run of the upstream refused says nothing about this one.
-            view.reset_backoff();
+        if let Some(known) = self.nodes.get_mut(&record.address) {
+            known.record = record;
+            // Refusals by an earlier incarnation of the upstream don't apply to this one.
+            known.reset_backoff();
             return;
         }
         let stored = StoredRecord {
@@ -167,27 +170,27 @@
             .insert(stored.record.address, KnownNode::new(stored));
     }
 
-    /// Notes that all records of nodes up to a revision have been read from the store.
+    /// Records that all records of nodes up to a revision have been read from the store.
     pub fn advance_read_position(&mut self, up_to: u64) {
         self.read_position = self.read_position.max(up_to);
     }
 
-    /// Revision up to which the store's records of nodes are known here, which is the offset of its next record.
+    /// Revision up to which the store's records of nodes have been read, which is the packed position of the next record.
     #[must_use]
     pub const fn read_position(&self) -> u64 {
         self.read_position
     }
 
-    /// Forgets nodes whose records the store had up to a revision and has no longer; returns them.
+    /// Removes the nodes whose stored record has a revision of at most `up_to` and was dropped since. Returns their records.
     pub fn remove_dropped(
         &mut self,
         up_to: u64,
         is_dropped: impl Fn(&NodeRecord) -> bool,
     ) -> Vec<NodeRecord> {
-        let stored = |view: &KnownNode| (1..=up_to).contains(&view.revision);
-        let views = self.nodes.values();
-        let dropped = views.filter(|view| stored(view) && is_dropped(&view.record));
-        let dropped: Vec<NodeRecord> = dropped.map(|view| view.record.clone()).collect();
+        let stored = |known: &KnownNode| (1..=up_to).contains(&known.revision);
+        let nodes = self.nodes.values();
+        let dropped = nodes.filter(|known| stored(known) && is_dropped(&known.record));
+        let dropped: Vec<NodeRecord> = dropped.map(|known| known.record.clone()).collect();
         for record in &dropped {
             self.nodes.remove(&record.address);
             self.known_versions.remove(&record.address);
@@ -195,44 +198,44 @@
         dropped
     }
 
-    /// The record of the node at an address.
+    /// The known record of the node at an address.
     #[must_use]
     pub fn find_record(&self, address: SocketAddr) -> Option<NodeRecord> {
-        self.nodes.get(&address).map(|view| view.record.clone())
+        self.nodes.get(&address).map(|known| known.record.clone())
     }
 
-    /// All records that are known.
+    /// All known records of nodes.
     #[must_use]
     pub fn list_records(&self) -> Vec<StoredRecord> {
-        let views = self.nodes.values();
-        views
-            .map(|view| StoredRecord {
-                revision: view.revision,
-                record: view.record.clone(),
+        let nodes = self.nodes.values();
+        nodes
+            .map(|known| StoredRecord {
+                revision: known.revision,
+                record: known.record.clone(),
             })
             .collect()
     }
 
-    /// Notes that a node is known to have a version, so that it is not sent to it.
+    /// Records that a node has a version, so that this version is not offered to it.
     pub fn record_version(&mut self, address: SocketAddr, version: ConfigurationVersion) {
         self.known_versions.insert(address, version);
     }
 
-    /// Whether a node is known to have the version in force.
+    /// Whether a node is known to have the version in force here, or a newer one.
     #[must_use]
     pub fn has_version(&self, address: SocketAddr) -> bool {
         let known = self.known_versions.get(&address);
         known.is_some_and(|version| *version >= self.version())
     }
 
-    /// What a node that has `version` does not have yet, and the records of nodes if it has read none.
+    /// Builds a message with what has changed since `version`. A node that has neither a routing table nor records of nodes also
+    /// gets all records.
     pub fn build_update_since(
         &mut self,
         version: ConfigurationVersion,
         has_records: bool,
     ) -> StateMessage {
-        // Only a node that knows nothing yet needs to be told of the other nodes: the store's records
-        // reach the others by its readers.
+        // Only a node that knows nothing yet needs records of nodes from here; the others get them from the readers of their zone.
         let knows_nothing = version == ConfigurationVersion::default() && !has_records;
         let change = self.tables.change_since(version);
         StateMessage {
@@ -248,7 +251,7 @@
     }
 }
 
-/// What is known of a node's load and answers holds for one run of its upstream.
-fn is_same_run(known: &NodeRecord, told: &NodeRecord) -> bool {
-    known.incarnation == told.incarnation
+/// Whether two records are of the same incarnation of an upstream. Known load and failures of a node hold for one incarnation only.
+fn is_same_incarnation(known: &NodeRecord, other: &NodeRecord) -> bool {
+    known.incarnation == other.incarnation
 }
--- a/src/proxy/upstream_announcements.rs
+++ b/src/proxy/upstream_announcements.rs
@@ -1,4 +1,4 @@
-//! Takes in what the upstream beside the node announces, and has it recorded in the store.
+//! Applies announcements of the local upstream, and has the resulting record of this node written to the store.
 
 use crate::{
     coordination::local_upstream::{Announcement, AnnouncementEffect},
@@ -15,24 +15,24 @@
 use flume::Sender;
 use std::{rc::Rc, time::Duration};
 
-/// Longest time that an acknowledgement waits for the store. The node itself already keeps to what
-/// was announced; the record only matters if it is restarted.
-const STORE_PATIENCE: Duration = Duration::from_millis(400);
+/// Longest time for which an acknowledgement waits for the store. The announcement is already in effect at this node; the
+/// stored record matters only if the node is restarted.
+const STORE_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// A record to be kept in the store, and where to say that it is.
+/// A record to be written to the store, and where to confirm the write.
 #[derive(Debug)]
 pub struct RecordWrite {
     /// The record of this node.
     pub record: NodeRecord,
-    /// Gets a message once the store has it.
+    /// Receives a message once the store holds the record.
     pub done: Sender<()>,
 }
 
-/// Takes in an announcement; returns once it may be acknowledged.
+/// Applies an announcement of the upstream. Returns once it may be acknowledged.
 pub async fn apply_announcement(
     core: &Rc<ProxyCore>,
     announcement: Announcement,
-    store: &Sender<RecordWrite>,
+    record_writes: &Sender<RecordWrite>,
 ) {
     let instance = announcement.run.instance.clone();
     let leaving = announcement.leaving;
@@ -61,52 +61,55 @@
             sequence,
             leaving,
         });
-        take_change(core, store).await;
+        publish_change(core, record_writes).await;
     }
 }
 
-/// Whether the upstream itself says that it is another run than the one that announces itself in place of a known one.
+/// Whether an announcement of another incarnation than the known one is contradicted by the upstream, which is asked.
 ///
-/// A word of a run that has ended may arrive late, and a node that was started since does not know that run. Were
-/// it believed, the run that works would count as ended for good.
+/// An announcement of an incarnation that has ended may arrive late, and a node that was started since does not know that
+/// incarnation. If the announcement were applied, the incarnation that serves would count as ended for good.
 async fn is_contradicted(core: &Rc<ProxyCore>, announcement: &Announcement) -> bool {
     let known = core
         .local_upstream
         .borrow()
         .serving()
-        .map(|run| run.identity.clone());
+        .map(|known| known.identity.clone());
     if known.is_none_or(|known| known.instance == announcement.run.instance) {
         return false;
     }
-    let told = probe_instance(core, &announcement.service).await;
-    told.is_some_and(|told| told != announcement.run.instance)
+    let reported = probe_instance(core, &announcement.service).await;
+    reported.is_some_and(|reported| reported != announcement.run.instance)
 }
 
-/// The present run of the upstream beside this node.
+/// Identity of the current incarnation of the local upstream; none before it is known.
 #[must_use]
 pub fn find_own_identity(core: &ProxyCore) -> Option<IncarnationId> {
     core.local_upstream
         .borrow()
         .current()
-        .map(|run| run.identity.clone())
+        .map(|known| known.identity.clone())
 }
 
-/// Takes in that a run of the upstream leaves; returns once it may be acknowledged.
+/// Records that an incarnation of the upstream is leaving. Returns once that may be acknowledged.
 pub async fn apply_departure(
     core: &Rc<ProxyCore>,
-    run: &IncarnationId,
-    store: &Sender<RecordWrite>,
+    incarnation: &IncarnationId,
+    record_writes: &Sender<RecordWrite>,
 ) {
-    let news = core.local_upstream.borrow_mut().record_departure(run);
-    if news {
+    let is_first_notice = core
+        .local_upstream
+        .borrow_mut()
+        .record_departure(incarnation);
+    if is_first_notice {
         core.log(&ProxyEvent::UpstreamDeparted {
-            instance: run.instance.clone(),
+            instance: incarnation.instance.clone(),
         });
-        take_change(core, store).await;
+        publish_change(core, record_writes).await;
     }
 }
 
-async fn take_change(core: &Rc<ProxyCore>, store: &Sender<RecordWrite>) {
+async fn publish_change(core: &Rc<ProxyCore>, record_writes: &Sender<RecordWrite>) {
     let Some(record) = build_own_record(core) else {
         return;
     };
@@ -116,21 +119,21 @@
         return;
     }
     let (done, recorded) = flume::bounded(1);
-    if store.send(RecordWrite { record, done }).is_err() {
+    if record_writes.send(RecordWrite { record, done }).is_err() {
         return;
     }
-    let patience = core.timers.after(STORE_PATIENCE);
+    let timeout = core.timers.after(STORE_TIMEOUT);
     tokio::select! {
         _ = recorded.recv_async() => {}
-        _ = patience.recv_async() => {}
+        _ = timeout.recv_async() => {}
     }
 }
 
-/// Takes in what the store holds of this node: written by an earlier run of it, or by this one.
+/// Applies the record of this node that the store holds. This process or an earlier one has written it.
 ///
-/// After a restart the upstream is known from it before it announces itself again, which it does
-/// only every second or two. It must confirm its identity and that it does not leave: it may have been
-/// told to the earlier run that it leaves while the store was away.
+/// After a restart the upstream is known from the record before it announces itself again, which it does only every second or
+/// two. The upstream must confirm its identity and that it is not leaving: it may have announced to the earlier process
+/// that it is leaving while the store was unavailable.
 pub async fn apply_stored_record(core: &Rc<ProxyCore>, record: NodeRecord) {
     let unknown = core.local_upstream.borrow().current().is_none();
     let unchanged = core.stored_record.replace(Some(record.clone())).as_ref() == Some(&record);
@@ -161,19 +164,19 @@
     }
 }
 
-/// The record of this node, if its upstream has announced itself.
+/// Builds the record of this node; none if its upstream is not known yet.
 #[must_use]
 pub fn build_own_record(core: &ProxyCore) -> Option<NodeRecord> {
     let own = core.local_upstream.borrow();
-    let run = own.current()?;
+    let current = own.current()?;
     Some(NodeRecord {
         name: core.settings.name.clone(),
         address: core.settings.peers,
-        service: run.service.clone(),
+        service: current.service.clone(),
         availability_zone: core.settings.availability_zone.clone(),
-        incarnation: run.identity.clone(),
-        slots: run.slots,
-        leaving: run.leaving,
+        incarnation: current.identity.clone(),
+        slots: current.slots,
+        leaving: current.leaving,
         operators: core.settings.operators,
     })
 }
