--- a/src/transport.rs
+++ b/src/transport.rs
@@ -1,4 +1,4 @@
-//! Sockets and HTTP: the edges of a process.
+//! HTTP servers and clients of a process, and the format of its log.
 
 pub mod callers;
 pub mod json_lines;
--- a/src/transport/callers.rs
+++ b/src/transport/callers.rs
@@ -1,7 +1,7 @@
-//! The edge towards callers: an HTTP/1.1 server on the node's event loop.
+//! The HTTP/1.1 server on the node's event loop. Its callers are clients, other nodes or the local upstream.
 //!
-//! Bodies are read whole before a call is handed on. Dropping a handler's future is how a caller's
-//! disconnect reaches it: the server drops the future as soon as it sees the connection end.
+//! A request's body is read completely before the handler gets the request. When a caller disconnects, the server
+//! drops the handler's future, which cancels the request.
 
 mod body;
 mod reply;
@@ -31,26 +31,26 @@
 use std::{cell::Cell, convert::Infallible, io, rc::Rc, time::Duration};
 use tokio::net::{TcpListener, TcpStream};
 
-/// Connections over the limit that are still told why they are refused.
+/// Connections above the limit whose requests are answered with an error; further ones are closed at once.
 const MAX_REJECTED_CONNECTIONS: usize = 64;
-/// How long to wait after a failed `accept`, for instance when file descriptors have run out.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Pause after a failed `accept`, which fails again at once while no file descriptors are free.
+const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(50);
 
-/// A caller's request with its whole body.
+/// A caller's request with its complete body.
 #[derive(Debug)]
 pub struct CallerRequest {
     /// HTTP method.
     pub method: Method,
-    /// Target as the caller sent it.
+    /// Request target as the caller sent it.
     pub uri: Uri,
     /// All headers, as received.
     pub headers: HeaderMap,
-    /// The whole body.
+    /// The complete body.
     pub body: Bytes,
 }
 
 impl CallerRequest {
-    /// The host that it asks; empty if it names none.
+    /// The host from the request target, else from the `Host` header; empty if both name none.
     #[must_use]
     pub fn host(&self) -> &str {
         let header = self.headers.get(HOST).and_then(|value| value.to_str().ok());
@@ -58,7 +58,7 @@
         authority.or(header).unwrap_or_default()
     }
 
-    /// What it has in common with every other attempt at the same request.
+    /// The fingerprint that this request shares with every other attempt at the same request.
     #[must_use]
     pub fn compute_fingerprint(&self) -> RequestFingerprint {
         let target = self.uri.path_and_query().map_or("", PathAndQuery::as_str);
@@ -66,39 +66,39 @@
     }
 }
 
-/// What the node does with requests.
+/// Answers the requests that a server receives.
 pub trait CallerHandler {
-    /// Answers a request. Dropping the future cancels the call.
+    /// Answers a request. Dropping the future cancels the request.
     fn handle(&self, req: CallerRequest) -> LocalBoxFuture<'static, CallerReply>;
 
-    /// Whether kept connections are to be closed after the next answer.
+    /// Whether a connection is to be closed after its next answer instead of being kept open.
     fn is_stopping(&self) -> bool;
 
-    /// Bounds in force now, given the ones that the server was started with.
-    fn limits(&self, started_with: CallerLimits) -> CallerLimits {
-        started_with
+    /// Limits in force now, given those that the server was started with.
+    fn limits(&self, initial: CallerLimits) -> CallerLimits {
+        initial
     }
 }
 
-/// Bounds on what callers may use.
+/// Limits on what callers may use.
 #[derive(Clone, Copy, Debug)]
 pub struct CallerLimits {
-    /// Open connections.
+    /// Most open connections.
     pub max_connections: usize,
-    /// Time a caller may take to send a request's head.
+    /// Time that a caller may take to send a request's head.
     pub head_timeout: Duration,
-    /// Time a caller may take to send a request's body.
+    /// Time that a caller may take to send a request's body.
     pub body_timeout: Duration,
-    /// Largest head in bytes.
+    /// Largest head (target and headers) in bytes.
     pub max_head_bytes: usize,
     /// Largest body in bytes.
     pub max_body_bytes: usize,
 }
 
-/// Accepts callers until the future is dropped.
+/// Accepts connections and serves their requests until the future is dropped.
 ///
 /// # Errors
-/// None at present: failures of `accept` are waited out.
+/// None: after a failed `accept` the server pauses and tries again.
 pub async fn serve_callers(
     listener: TcpListener,
     limits: CallerLimits,
@@ -114,8 +114,8 @@
     loop {
         match listener.accept().await {
             Ok((stream, _)) => server.admit(stream),
-            // Out of file descriptors: without a pause this loop would spin on the same error.
-            Err(_) => drop(server.timers.after(ACCEPT_PAUSE).recv_async().await),
+            // Without a pause, this loop would spin on the same error while no file descriptors are free.
+            Err(_) => drop(server.timers.after(ACCEPT_RETRY_PAUSE).recv_async().await),
         }
     }
 }
@@ -124,10 +124,11 @@
     limits: CallerLimits,
     timers: TimerService,
     handler: Rc<dyn CallerHandler>,
+    /// Number of open connections.
     open: Cell<usize>,
 }
 
-/// Counts a connection for as long as it lives.
+/// Counts a connection as open until it is dropped.
 struct OpenConnection(Rc<CallerServer>);
 
 impl OpenConnection {
@@ -150,8 +151,8 @@
             return;
         }
         let too_many = open >= self.limits.max_connections;
-        let counted = OpenConnection::count(self);
-        tokio::task::spawn_local(serve_connection(counted, stream, too_many));
+        let connection = OpenConnection::count(self);
+        tokio::task::spawn_local(serve_connection(connection, stream, too_many));
     }
 
     async fn answer(&self, req: Request<Incoming>, too_many: bool) -> CallerReply {
@@ -161,13 +162,13 @@
                 "too many connections",
             ));
         }
-        // The library drops a Content-Length that stands beside chunks before it can be seen here.
-        // A sender that believed that length would count the next bytes as this body, so no request
-        // in chunks may be followed by another on its connection.
+        // For a chunked request, hyper removes a Content-Length header before it can be checked here. A sender that
+        // goes by that length would take the bytes of the next request for this body, so the connection is closed
+        // after every chunked request.
         let chunked = req.headers().contains_key(TRANSFER_ENCODING);
         let reply = match self.read_request(req).await {
             Ok(req) => self.handler.handle(req).await,
-            Err(refused) => refused,
+            Err(rejection) => rejection,
         };
         if chunked || self.handler.is_stopping() {
             return close_after(reply);
@@ -178,21 +179,21 @@
     async fn read_request(&self, req: Request<Incoming>) -> Result<CallerRequest, CallerReply> {
         let (parts, incoming) = req.into_parts();
         if has_conflicting_lengths(&parts.headers) {
-            let refused = reply_json(StatusCode::BAD_REQUEST, "conflicting lengths");
-            return Err(close_after(refused));
+            let rejection = reply_json(StatusCode::BAD_REQUEST, "conflicting lengths");
+            return Err(close_after(rejection));
         }
         if count_head_bytes(&parts) > self.limits.max_head_bytes {
             let status = StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE;
             return Err(close_after(reply_json(status, "head too large")));
         }
-        // Most calls have no body; for them no timer is set.
+        // Most requests have no body; they need no timer.
         let body = if incoming.is_end_stream() {
             Bytes::new()
         } else {
             let limits = self.handler.limits(self.limits);
             let timeout = self.timers.after(limits.body_timeout);
             let read = read_body(incoming, limits.max_body_bytes, timeout).await;
-            read.map_err(refuse_body)?
+            read.map_err(reject_body)?
         };
         Ok(CallerRequest {
             method: parts.method,
@@ -203,13 +204,13 @@
     }
 }
 
-fn refuse_body(error: BodyError) -> CallerReply {
+fn reject_body(error: BodyError) -> CallerReply {
     let status = match error {
         BodyError::TooLarge => StatusCode::PAYLOAD_TOO_LARGE,
-        BodyError::TooSlow => StatusCode::REQUEST_TIMEOUT,
-        BodyError::Broken => StatusCode::BAD_REQUEST,
+        BodyError::Timeout => StatusCode::REQUEST_TIMEOUT,
+        BodyError::Malformed => StatusCode::BAD_REQUEST,
     };
-    // The rest of the body was not read: the next bytes on this connection are not a request.
+    // The rest of the body is unread, so the next bytes on this connection are not a request.
     close_after(reply_json(status, &error.to_string()))
 }
 
@@ -220,8 +221,8 @@
     reply
 }
 
-/// Bytes of target and headers. The library bounds its buffer only, and lets a head pass that
-/// arrives in one piece above that bound.
+/// Bytes of the request target and the headers. hyper limits only its read buffer and accepts a larger head that
+/// arrives in one read.
 fn count_head_bytes(parts: &Parts) -> usize {
     let target = parts
         .uri
@@ -232,12 +233,12 @@
     target + lengths.sum::<usize>()
 }
 
-async fn serve_connection(counted: OpenConnection, stream: TcpStream, too_many: bool) {
-    // Answers are small and complete: waiting to fill a segment would only delay them.
+async fn serve_connection(connection: OpenConnection, stream: TcpStream, too_many: bool) {
+    // Answers are small and written at once: waiting for a full segment would only delay them.
     if stream.set_nodelay(true).is_err() {
         return;
     }
-    let server = Rc::clone(&counted.0);
+    let server = Rc::clone(&connection.0);
     let service = service_fn(|req| {
         let server = Rc::clone(&server);
         async move { Ok::<_, Infallible>(server.answer(req, too_many).await) }
@@ -255,5 +256,5 @@
     }
 }
 
-/// Body type of a reply.
+/// Body type of a [`CallerReply`].
 pub type ReplyBody = Full<Bytes>;
--- a/src/transport/callers/body.rs
+++ b/src/transport/callers/body.rs
@@ -1,4 +1,4 @@
-//! Reading a caller's body whole, within a size and a time.
+//! Reads the complete body of a caller's request, with limits on its size and time.
 
 use bytes::Bytes;
 use flume::Receiver;
@@ -11,33 +11,33 @@
 /// Why a body could not be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum BodyError {
-    /// Above the limit.
+    /// The body is larger than the limit.
     #[error("body too large")]
     TooLarge,
-    /// Not complete within the time allowed.
+    /// The body was not complete within the time allowed.
     #[error("body too slow")]
-    TooSlow,
-    /// Cut short or malformed.
-    #[error("body malformed or cut short")]
-    Broken,
+    Timeout,
+    /// The body is truncated or malformed.
+    #[error("body malformed or truncated")]
+    Malformed,
 }
 
-/// Reads the whole body, or fails when it passes `limit` bytes or `timeout` fires.
+/// Reads the complete body. Fails when the body is larger than `limit` bytes or `timeout` fires.
 pub async fn read_body(
     incoming: Incoming,
     limit: usize,
     timeout: Receiver<Timestamp>,
 ) -> Result<Bytes, BodyError> {
-    let announced = incoming.size_hint().lower();
-    if usize::try_from(announced).map_or(true, |length| length > limit) {
+    let declared = incoming.size_hint().lower();
+    if usize::try_from(declared).map_or(true, |length| length > limit) {
         return Err(BodyError::TooLarge);
     }
     tokio::select! {
         read = Limited::new(incoming, limit).collect() => match read {
             Ok(body) => Ok(body.to_bytes()),
             Err(error) if error.is::<LengthLimitError>() => Err(BodyError::TooLarge),
-            Err(_) => Err(BodyError::Broken),
+            Err(_) => Err(BodyError::Malformed),
         },
-        _ = timeout.recv_async() => Err(BodyError::TooSlow),
+        _ = timeout.recv_async() => Err(BodyError::Timeout),
     }
 }
--- a/src/transport/callers/reply.rs
+++ b/src/transport/callers/reply.rs
@@ -1,14 +1,14 @@
-//! Replies of the node itself, as JSON.
+//! Replies that the node itself generates, as JSON.
 
 use bytes::Bytes;
 use http::{HeaderValue, Response, StatusCode, header::CONTENT_TYPE};
 use http_body_util::Full;
 use serde_json::json;
 
-/// What a caller gets.
+/// A reply to a caller.
 pub type CallerReply = Response<Full<Bytes>>;
 
-/// A reply with a JSON body that names an error.
+/// Builds a reply with the JSON body `{"error": error}`.
 #[must_use]
 pub fn reply_json(status: StatusCode, error: &str) -> CallerReply {
     let body = json!({ "error": error }).to_string();
--- a/src/transport/json_lines.rs
+++ b/src/transport/json_lines.rs
@@ -1,4 +1,4 @@
-//! One JSON object a line, with the fields of numbered events beside the time and level.
+//! The log format: one JSON object per line, with the time, the level and the fields of the event.
 
 use std::fmt::{self, Write};
 use tracing::{
@@ -14,10 +14,10 @@
     registry::LookupSpan,
 };
 
-/// Field that holds a JSON object whose members become members of the line.
+/// Event field that holds a JSON object as text; the object's members become members of the log line.
 const OBJECT_FIELD: &str = "fields";
 
-/// Formats events as JSON lines.
+/// Formats each `tracing` event as a JSON object on a line of its own.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct JsonLines;
 
@@ -42,15 +42,16 @@
     }
 }
 
-/// Collects members, each with a comma in front.
+/// Collects the event's fields as members of a JSON object.
 #[derive(Default)]
 struct MemberVisitor {
+    /// Encoded members, each with a comma before it.
     members: String,
 }
 
 impl MemberVisitor {
     fn push(&mut self, name: &str, value: &serde_json::Value) {
-        // Writing to a string never fails.
+        // Writing to a `String` never fails.
         let _ = write!(self.members, ",\"{name}\":{value}");
     }
 }
--- a/src/transport/outgoing.rs
+++ b/src/transport/outgoing.rs
@@ -1,8 +1,8 @@
-//! Requests that a node sends: HTTP/1.1 over kept or fresh connections.
+//! The HTTP/1.1 client of a node, with a pool of idle connections per address.
 //!
-//! Whatever ends an exchange early closes its connection: an answer that came late would be read as
-//! that of the next request. Dropping the future of a request closes its connection, which is how a
-//! cancel reaches the other side.
+//! When an exchange ends early, its connection is closed: a late answer would otherwise be read as the answer to the
+//! next request. Dropping the future of a request closes its connection too, so that the other side learns that the
+//! request was cancelled.
 
 use crate::{state::timestamp::Timestamp, timers::TimerService};
 use bytes::{Bytes, BytesMut};
@@ -28,47 +28,47 @@
     task::{AbortHandle, spawn_local, yield_now},
 };
 
-/// Silence after which the kernel asks whether the other side is still there, and the pause between
-/// such questions. A VM without power sends no end of connection.
-const KEEPALIVE_TIME: Duration = Duration::from_secs(1);
-/// Unanswered questions after which a connection is broken.
-const KEEPALIVE_TRIES: u32 = 2;
-/// Time that sent bytes may stay unacknowledged.
-const UNACKNOWLEDGED_LIMIT: Duration = Duration::from_millis(1_500);
-/// Read buffer of a connection, in bytes; also the largest head of an answer.
-const BUFFER_LIMIT: usize = 32 * 1024;
+/// Idle time after which TCP sends a keepalive probe, and the time between two probes. A VM that loses power doesn't
+/// close its connections.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
+/// Unanswered keepalive probes after which a connection counts as broken.
+const KEEPALIVE_PROBES: u32 = 2;
+/// Time that sent bytes may stay unacknowledged before a connection counts as broken.
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Largest read buffer of a connection, in bytes; also the largest head of an answer.
+const MAX_BUFFER_BYTES: usize = 32 * 1024;
 
-/// Why a request has no answer.
+/// Why a request got no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum SendError {
-    /// No byte was handed to a connection.
+    /// No byte of the request was written to a connection.
     #[error("not sent")]
     NotSent,
-    /// The connection ended after the request was handed over.
+    /// The connection ended, or the answer timed out, after the request or a part of it was written.
     #[error("connection ended before the answer")]
     Disconnected,
-    /// The answer was malformed, cut short, too large or that of another request.
+    /// The answer was malformed, truncated, too large or that of another request.
     #[error("malformed answer")]
     BadAnswer,
 }
 
-/// Which kept connections a request may be sent on. The other side may have closed an idle one without notice; what is sent on it
-/// then ends as unknown.
+/// Which idle connections a request may be sent on. The other side may have closed one without this side having
+/// learned of it; it is then unknown whether a request sent on that connection was executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionReuse {
-    /// Any that is kept.
+    /// Any idle connection.
     Any,
-    /// Only one that was idle for less than that.
+    /// Only a connection that has been idle for less than this time.
     IdleLessThan(Duration),
-    /// None: a connection is opened.
+    /// None: a new connection is opened.
     Never,
 }
 
 impl ConnectionReuse {
-    /// Bound for requests that must run once. Servers and networks drop idle connections after longer than that.
+    /// Rule for requests that must not run twice. Servers and networks keep idle connections for longer than this time.
     pub const NON_IDEMPOTENT: Self = Self::IdleLessThan(Duration::from_millis(150));
 
-    /// The bound for a request, by whether it may run twice.
+    /// The rule for a request, by whether it may run twice.
     #[must_use]
     pub const fn for_request(idempotent: bool) -> Self {
         if idempotent {
@@ -87,33 +87,34 @@
     }
 }
 
-/// How one request is to be sent.
+/// How a request is to be sent.
 #[derive(Clone, Copy, Debug)]
 pub struct SendOptions {
-    /// Which kept connections it may be sent on.
+    /// Which idle connections the request may be sent on.
     pub reuse: ConnectionReuse,
     /// Longest time to open a connection.
     pub connect_timeout: Duration,
-    /// Longest time that a connection may have been idle.
+    /// Idle time after which a connection is closed instead of reused.
     pub idle_limit: Duration,
     /// Largest answer body, in bytes.
     pub body_limit: usize,
-    /// How long nothing may come; none if whoever sends the request bounds its time.
+    /// Timeouts for the parts of the answer; `None` if the sender of the request limits its time.
     pub answer_timeouts: Option<AnswerTimeouts>,
 }
 
-/// How long nothing may come of an answer. A bound on the whole answer would have a node with a thin link give up on each
-/// large document and ask for it anew, which keeps the link full.
+/// Timeouts for the parts of an answer. With a timeout for the whole answer, a node with a slow network link would give
+/// up on each large document and request it again, which would keep the link busy.
 #[derive(Clone, Copy, Debug)]
 pub struct AnswerTimeouts {
-    /// Until its head.
+    /// Longest time until the answer's head.
     pub head: Duration,
-    /// Between two pieces of its body.
+    /// Longest time between two chunks of the answer's body.
     pub body_chunk: Duration,
 }
 
 struct Connection {
     tx: SendRequest<Full<Bytes>>,
+    /// Aborts the task that does the connection's reads and writes.
     driver: AbortHandle,
 }
 
@@ -123,21 +124,22 @@
     }
 }
 
-struct Idle {
+struct IdleConnection {
     connection: Connection,
     since: Timestamp,
-    /// What the other side told in `Keep-Alive`.
-    allowed: Option<Duration>,
+    /// Longest idle time by the other side's `Keep-Alive` header.
+    keep_alive: Option<Duration>,
 }
 
-/// A node's outgoing connections, by address.
+/// The outgoing connections of a node.
 pub struct OutgoingConnections {
     timers: TimerService,
-    idle: RefCell<HashMap<SocketAddr, Vec<Idle>>>,
+    /// Idle connections by address; the last one of each address was used last.
+    idle: RefCell<HashMap<SocketAddr, Vec<IdleConnection>>>,
 }
 
 impl OutgoingConnections {
-    /// No connections yet.
+    /// Creates a client without connections.
     #[must_use]
     pub fn new(timers: TimerService) -> Rc<Self> {
         Rc::new(Self {
@@ -151,11 +153,11 @@
         self.idle.borrow_mut().remove(&address);
     }
 
-    /// Sends a request and reads its whole answer. `is_answer` tells from the head whether it
-    /// belongs to the request.
+    /// Sends a request and reads its complete answer. `is_answer` decides from an answer's head whether it belongs to
+    /// the request.
     ///
     /// # Errors
-    /// See [`SendError`]: only `NotSent` proves that the request did not reach the other side.
+    /// See [`SendError`]: only `NotSent` guarantees that the request did not reach the other side.
     pub async fn send(
         self: &Rc<Self>,
         address: SocketAddr,
@@ -170,11 +172,11 @@
                 .await
             {
                 Ok(answer) => {
-                    self.give_back(address, connection, answer.headers());
+                    self.return_to_pool(address, connection, answer.headers());
                     return Ok(answer);
                 }
-                Err(Failure::Returned(unsent)) => req = *unsent,
-                Err(Failure::Ended(error)) => return Err(error),
+                Err(ExchangeError::Unsent(unsent)) => req = *unsent,
+                Err(ExchangeError::Failed(error)) => return Err(error),
             }
         }
         let mut connection = self.open(address, options.connect_timeout).await?;
@@ -183,15 +185,16 @@
             .await
         {
             Ok(answer) => {
-                self.give_back(address, connection, answer.headers());
+                self.return_to_pool(address, connection, answer.headers());
                 Ok(answer)
             }
-            Err(Failure::Returned(_)) => Err(SendError::NotSent),
-            Err(Failure::Ended(error)) => Err(error),
+            Err(ExchangeError::Unsent(_)) => Err(SendError::NotSent),
+            Err(ExchangeError::Failed(error)) => Err(error),
         }
     }
 
-    /// Whether nothing listens at an address: whoever did has ended. One that is too busy to answer within `limit` is there.
+    /// Whether connections to an address are refused, which means that no process listens there any more. A process
+    /// that is too busy to accept a connection within `limit` counts as listening.
     pub async fn refuses_connections(&self, address: SocketAddr, limit: Duration) -> bool {
         let timeout = self.timers.after(limit);
         let connecting = pin!(TcpStream::connect(address));
@@ -210,37 +213,41 @@
         req: Request<Full<Bytes>>,
         options: SendOptions,
         is_answer: impl Fn(&Parts) -> bool,
-    ) -> Result<Response<Bytes>, Failure> {
+    ) -> Result<Response<Bytes>, ExchangeError> {
         let sent = connection.tx.try_send_request(req);
         let head = options
             .answer_timeouts
             .map(|answer_timeouts| answer_timeouts.head);
-        let response = match self.within(head, sent).await? {
+        let response = match self.wait_at_most(head, sent).await? {
             Ok(response) => response,
             Err(mut error) => {
                 return Err(match error.take_message() {
-                    Some(req) => Failure::Returned(Box::new(req)),
-                    None if error.error().is_parse() => Failure::Ended(SendError::BadAnswer),
-                    None => Failure::Ended(SendError::Disconnected),
+                    Some(req) => ExchangeError::Unsent(Box::new(req)),
+                    None if error.error().is_parse() => ExchangeError::Failed(SendError::BadAnswer),
+                    None => ExchangeError::Failed(SendError::Disconnected),
                 });
             }
         };
         let (parts, incoming) = response.into_parts();
         if !is_answer(&parts) {
-            return Err(Failure::Ended(SendError::BadAnswer));
+            return Err(ExchangeError::Failed(SendError::BadAnswer));
         }
         let body = self.read_body(incoming, options).await?;
         Ok(Response::from_parts(parts, body))
     }
 
-    async fn read_body(&self, incoming: Incoming, options: SendOptions) -> Result<Bytes, Failure> {
+    async fn read_body(
+        &self,
+        incoming: Incoming,
+        options: SendOptions,
+    ) -> Result<Bytes, ExchangeError> {
         let mut body = Limited::new(incoming, options.body_limit);
         let mut bytes = BytesMut::new();
         let body_chunk = options
             .answer_timeouts
             .map(|answer_timeouts| answer_timeouts.body_chunk);
-        while let Some(frame) = self.within(body_chunk, body.frame()).await? {
-            let frame = frame.map_err(|_| Failure::Ended(SendError::BadAnswer))?;
+        while let Some(frame) = self.wait_at_most(body_chunk, body.frame()).await? {
+            let frame = frame.map_err(|_| ExchangeError::Failed(SendError::BadAnswer))?;
             if let Ok(data) = frame.into_data() {
                 bytes.extend_from_slice(&data);
             }
@@ -248,19 +255,19 @@
         Ok(bytes.freeze())
     }
 
-    /// Awaits a part of an answer, for `limit` at the most.
-    async fn within<T>(
+    /// Awaits a part of an answer, for at most `limit` if there is one.
+    async fn wait_at_most<T>(
         &self,
         limit: Option<Duration>,
         part: impl Future<Output = T>,
-    ) -> Result<T, Failure> {
+    ) -> Result<T, ExchangeError> {
         let Some(limit) = limit else {
             return Ok(part.await);
         };
         let timeout = self.timers.after(limit);
         match select(pin!(part), timeout.recv_async()).await {
             Either::Left((part, _)) => Ok(part),
-            Either::Right(_) => Err(Failure::Ended(SendError::Disconnected)),
+            Either::Right(_) => Err(ExchangeError::Failed(SendError::Disconnected)),
         }
     }
 
@@ -273,46 +280,47 @@
         }
     }
 
-    /// Takes the connection that was used last, if the rules allow it.
+    /// Takes the connection that was used last, if `options` allow to reuse it. Closes connections that have been idle
+    /// for too long.
     fn take_idle(&self, address: SocketAddr, options: SendOptions) -> Option<Connection> {
         let now = self.timers.now();
         let mut idle = self.idle.borrow_mut();
         let kept = idle.get_mut(&address)?;
         kept.retain(|idle| {
-            let limit = idle.allowed.unwrap_or(options.idle_limit);
+            let limit = idle.keep_alive.unwrap_or(options.idle_limit);
             now.since(idle.since) < limit.min(options.idle_limit) && !idle.connection.tx.is_closed()
         });
         let newest = kept.pop_if(|idle| options.reuse.allows(now.since(idle.since)));
         newest.map(|idle| idle.connection)
     }
 
-    /// Keeps a connection once it can take the next request. One with an unfinished body or with
-    /// bytes after its answer never can.
-    fn give_back(
+    /// Adds a connection to the pool once it is ready for the next request. A connection with an unfinished body or
+    /// with bytes after its answer never is.
+    fn return_to_pool(
         self: &Rc<Self>,
         address: SocketAddr,
         mut connection: Connection,
         headers: &HeaderMap,
     ) {
-        let allowed = read_keep_alive(headers);
+        let keep_alive = read_keep_alive(headers);
         let pool = Rc::clone(self);
         spawn_local(async move {
             yield_now().await;
             if connection.tx.ready().await.is_ok() {
                 let since = pool.timers.now();
                 let mut idle = pool.idle.borrow_mut();
-                idle.entry(address).or_default().push(Idle {
+                idle.entry(address).or_default().push(IdleConnection {
                     connection,
                     since,
-                    allowed,
+                    keep_alive,
                 });
             }
         });
     }
 }
 
-/// Half of the seconds that the other side keeps an idle connection: a request that crosses the
-/// close would end as unknown.
+/// Half of the time for which the other side keeps an idle connection, by its `Keep-Alive` header. If a request were
+/// sent while the other side closes the connection, it would be unknown whether it was executed.
 fn read_keep_alive(headers: &HeaderMap) -> Option<Duration> {
     let text = headers.get("keep-alive")?.to_str().ok()?;
     let seconds = text
@@ -322,10 +330,11 @@
     Some(Duration::from_secs(u64::from(seconds)) / 2)
 }
 
-enum Failure {
-    /// No byte was written; here is the request again.
-    Returned(Box<Request<Full<Bytes>>>),
-    Ended(SendError),
+enum ExchangeError {
+    /// No byte of the request was written; holds the request, to be sent on another connection.
+    Unsent(Box<Request<Full<Bytes>>>),
+    /// The request failed and must not be sent again.
+    Failed(SendError),
 }
 
 async fn open_connection(address: SocketAddr) -> Result<Connection, SendError> {
@@ -334,7 +343,7 @@
         .map_err(|_| SendError::NotSent)?;
     set_options(&stream).map_err(|_| SendError::NotSent)?;
     let handshake = http1::Builder::new()
-        .max_buf_size(BUFFER_LIMIT)
+        .max_buf_size(MAX_BUFFER_BYTES)
         .handshake(TokioIo::new(stream));
     let (tx, driver) = handshake.await.map_err(|_| SendError::NotSent)?;
     let driver = spawn_local(driver.map(|ended| {
@@ -352,9 +361,9 @@
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
     let keepalive = TcpKeepalive::new()
-        .with_time(KEEPALIVE_TIME)
-        .with_interval(KEEPALIVE_TIME)
-        .with_retries(KEEPALIVE_TRIES);
+        .with_time(KEEPALIVE_INTERVAL)
+        .with_interval(KEEPALIVE_INTERVAL)
+        .with_retries(KEEPALIVE_PROBES);
     socket.set_tcp_keepalive(&keepalive)?;
-    socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_LIMIT))
+    socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT))
 }
