--- a/src/coordination/slot_queue.rs
+++ b/src/coordination/slot_queue.rs
@@ -17,7 +17,7 @@
 
 use crate::{
     coordination::{
-        slow_start::{SlowStart, ToldColdTime},
+        slow_start::{SlowStart, WarmupReport},
         vm_slowdown::VmSlowdown,
     },
     state::{ablation::Mechanism, timestamp::Timestamp},
@@ -161,24 +161,24 @@
     }
 
     /// Resets the warmup for a new run of the upstream.
-    pub fn begin_run(&mut self) {
-        self.slow_start.begin_run();
+    pub fn begin_incarnation(&mut self) {
+        self.slow_start.begin_incarnation();
     }
 
     /// Records that the current run of the upstream got requests of an earlier process of this node.
-    pub fn recall_run(&mut self) {
-        self.slow_start.recall_run();
+    pub fn mark_incarnation_inherited(&mut self) {
+        self.slow_start.mark_incarnation_inherited();
     }
 
     /// Records the warmup state that the upstream reports.
-    pub fn note_cold_time(&mut self, told: ToldColdTime, now: Timestamp) {
-        self.slow_start.note_told(told, now);
+    pub fn record_warmup(&mut self, told: WarmupReport, now: Timestamp) {
+        self.slow_start.record_report(told, now);
     }
 
     /// Whether the upstream is cold as far as is known.
     #[must_use]
-    pub fn is_cold(&self, now: Timestamp) -> bool {
-        self.slow_start.is_cold(now)
+    pub fn is_warming_up(&self, now: Timestamp) -> bool {
+        self.slow_start.is_warming_up(now)
     }
 
     /// Records the current pace of the VM.
@@ -314,7 +314,7 @@
     }
 
     fn start(&mut self, waiting: &Waiting, now: Timestamp) {
-        self.slow_start.note_start(now);
+        self.slow_start.record_start(now);
         self.running.push(Running {
             number: waiting.number,
             ends: now + self.slowdown.estimate_duration(waiting.expected),
--- a/src/coordination/slow_start.rs
+++ b/src/coordination/slow_start.rs
@@ -51,11 +51,11 @@
 
 /// Warmup state as reported by an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ToldColdTime {
+pub struct WarmupReport {
     /// Remaining warmup time.
-    pub left: Duration,
+    pub remaining: Duration,
     /// Total warmup time; zero if unknown.
-    pub lasts: Duration,
+    pub total: Duration,
     /// Maximum number of requests within any second of the warmup.
     pub limit: usize,
 }
@@ -64,7 +64,7 @@
 #[derive(Clone, Debug)]
 pub struct SlowStart {
     limit: usize,
-    cold_until: Timestamp,
+    warmup_until: Timestamp,
     /// The last starts, oldest first.
     starts: VecDeque<Timestamp>,
     /// Start of the counting, while an earlier process of this node may have sent requests to the current run of the upstream.
@@ -72,7 +72,7 @@
     /// When this process started.
     started: Timestamp,
     /// An earlier process of this node has sent requests to the current run of the upstream.
-    is_recalled: bool,
+    is_inherited: bool,
 }
 
 impl SlowStart {
@@ -81,50 +81,50 @@
     pub fn new(now: Timestamp) -> Self {
         Self {
             limit: REMEMBERED,
-            cold_until: Timestamp::default(),
+            warmup_until: Timestamp::default(),
             starts: VecDeque::new(),
             counted_since: Some(now),
             started: now,
-            is_recalled: false,
+            is_inherited: false,
         }
     }
 
     /// Resets the warmup for a new run of the upstream, whose requests all went through this process. Starts of the previous run still
     /// count: an upstream may restart under the same identity within the window.
-    pub fn begin_run(&mut self) {
-        self.cold_until = Timestamp::default();
+    pub fn begin_incarnation(&mut self) {
+        self.warmup_until = Timestamp::default();
         self.counted_since = None;
-        self.is_recalled = false;
+        self.is_inherited = false;
     }
 
     /// Records that the current run of the upstream got requests of an earlier process of this node. That the present warmup began
     /// after that process ended proves nothing: the upstream may have been cold before as well.
-    pub fn recall_run(&mut self) {
+    pub fn mark_incarnation_inherited(&mut self) {
         self.counted_since = Some(self.started);
-        self.is_recalled = true;
+        self.is_inherited = true;
     }
 
     /// Records a report of the upstream. A report may have been delayed for seconds, so it never shortens the known warmup.
-    pub fn note_told(&mut self, told: ToldColdTime, now: Timestamp) {
-        if told.left.is_zero() {
+    pub fn record_report(&mut self, told: WarmupReport, now: Timestamp) {
+        if told.remaining.is_zero() {
             return;
         }
         self.limit = told.limit.clamp(1, REMEMBERED);
-        self.cold_until = self.cold_until.max(now + told.left);
-        let cold_for = told.lasts.saturating_sub(told.left);
-        let is_known = !self.is_recalled && !told.lasts.is_zero();
-        let began_here = |counted| is_known && cold_for <= now.since(counted) + RESTART_PAUSE;
+        self.warmup_until = self.warmup_until.max(now + told.remaining);
+        let elapsed = told.total.saturating_sub(told.remaining);
+        let is_known = !self.is_inherited && !told.total.is_zero();
+        let began_here = |counted| is_known && elapsed <= now.since(counted) + RESTART_PAUSE;
         self.counted_since = self.counted_since.filter(|counted| !began_here(*counted));
     }
 
     /// Whether the upstream is known to be cold.
     #[must_use]
-    pub fn is_cold(&self, now: Timestamp) -> bool {
-        now < self.cold_until
+    pub fn is_warming_up(&self, now: Timestamp) -> bool {
+        now < self.warmup_until
     }
 
     /// Records the start of a request.
-    pub fn note_start(&mut self, now: Timestamp) {
+    pub fn record_start(&mut self, now: Timestamp) {
         while self
             .starts
             .front()
@@ -139,10 +139,10 @@
     /// Time until a request may start if `ahead` other requests start before it.
     #[must_use]
     pub fn wait(&self, ahead: usize, now: Timestamp) -> Duration {
-        if !self.is_cold(now) {
+        if !self.is_warming_up(now) {
             return Duration::ZERO;
         }
-        let until_warm = self.cold_until.since(now);
+        let until_warm = self.warmup_until.since(now);
         let counted = self.counted_since.map(|since| (since + WINDOW).since(now));
         let uncounted = counted.unwrap_or_default();
         (uncounted + self.wait_in_window(ahead, now)).min(until_warm)
--- a/src/proxy/executing/slots.rs
+++ b/src/proxy/executing/slots.rs
@@ -58,12 +58,12 @@
         self.paused_until.set(Timestamp::default());
         self.pace.restart();
         self.warmth_told_at.set(None);
-        self.queue.borrow_mut().begin_run();
+        self.queue.borrow_mut().begin_incarnation();
     }
 
     /// Records that the current run of the upstream got requests of an earlier process of this node.
     pub fn resume_incarnation(&self) {
-        self.queue.borrow_mut().recall_run();
+        self.queue.borrow_mut().mark_incarnation_inherited();
     }
 
     /// Notes that the upstream did not answer a question: it is asked again after the usual pause.
--- a/src/proxy/executing/warmup.rs
+++ b/src/proxy/executing/warmup.rs
@@ -1,7 +1,7 @@
 //! Tracks how long the upstream stays cold, from its announcements and its health responses.
 
 use crate::{
-    coordination::slow_start::ToldColdTime,
+    coordination::slow_start::WarmupReport,
     proxy::{
         core::ProxyCore,
         events::{ProxyEvent, in_millis},
@@ -21,15 +21,15 @@
         return;
     };
     let limit = core.limits().slow_start.limit(cold.requests_per_minute);
-    let told = ToldColdTime {
-        left,
-        lasts: cold.lasts,
+    let told = WarmupReport {
+        remaining: left,
+        total: cold.lasts,
         limit,
     };
     let now = core.timers.now();
     let mut queue = core.slots.queue.borrow_mut();
-    let was_cold = queue.is_cold(now);
-    queue.note_cold_time(told, now);
+    let was_cold = queue.is_warming_up(now);
+    queue.record_warmup(told, now);
     drop(queue);
     if !was_cold {
         core.log(&ProxyEvent::UpstreamWarmingUp {
@@ -63,7 +63,7 @@
     let now = core.timers.now();
     let told_at = core.slots.warmth_told_at.get();
     let is_fresh = told_at.is_some_and(|at| now.since(at) <= FRESH);
-    if !differs || is_fresh || core.slots.queue.borrow().is_cold(now) {
+    if !differs || is_fresh || core.slots.queue.borrow().is_warming_up(now) {
         return;
     }
     ask_for_pace(core).await;
--- a/tests/integration/slow_start.rs
+++ b/tests/integration/slow_start.rs
@@ -1,7 +1,7 @@
 //! What a cold upstream is given within any second.
 
 use camphorturn::{
-    coordination::slow_start::{SlowStart, SlowStartRules, ToldColdTime},
+    coordination::slow_start::{SlowStart, SlowStartRules, WarmupReport},
     state::timestamp::Timestamp,
 };
 use std::time::Duration;
@@ -14,10 +14,10 @@
     Timestamp(millis * 1_000)
 }
 
-fn told(left: Duration) -> ToldColdTime {
-    ToldColdTime {
-        left,
-        lasts: LASTS,
+fn told(left: Duration) -> WarmupReport {
+    WarmupReport {
+        remaining: left,
+        total: LASTS,
         limit: LIMIT,
     }
 }
@@ -26,7 +26,7 @@
 fn start_all(slow_start: &mut SlowStart, now: Timestamp) -> usize {
     let mut started = 0;
     while started < 2 * LIMIT && slow_start.wait(0, now).is_zero() {
-        slow_start.note_start(now);
+        slow_start.record_start(now);
         started += 1;
     }
     started
@@ -46,7 +46,7 @@
 fn wait_warm_upstream() {
     let mut slow_start = SlowStart::new(at(0));
     assert_eq!(start_all(&mut slow_start, at(0)), 2 * LIMIT);
-    slow_start.note_told(told(Duration::ZERO), at(10));
+    slow_start.record_report(told(Duration::ZERO), at(10));
     assert!(slow_start.wait(0, at(10)).is_zero());
 }
 
@@ -56,14 +56,14 @@
 fn wait_run_of_earlier_process_cold_again() {
     let mut slow_start = SlowStart::new(at(10_000));
     let cold_again = told(Duration::from_millis(2_902));
-    slow_start.note_told(cold_again, at(10_010));
-    slow_start.recall_run();
-    slow_start.note_told(cold_again, at(10_010));
+    slow_start.record_report(cold_again, at(10_010));
+    slow_start.mark_incarnation_inherited();
+    slow_start.record_report(cold_again, at(10_010));
     let wait = slow_start.wait(0, at(10_010));
     assert!(wait >= Duration::from_millis(990), "{wait:?}");
     assert!(start_all(&mut slow_start, at(10_010) + wait) > 0);
-    slow_start.begin_run();
-    slow_start.note_told(cold_again, at(12_000));
+    slow_start.begin_incarnation();
+    slow_start.record_report(cold_again, at(12_000));
     assert!(slow_start.wait(0, at(13_100)).is_zero());
 }
 
@@ -71,7 +71,7 @@
 #[test]
 fn wait_upstream_older_than_node() {
     let mut slow_start = SlowStart::new(at(10_000));
-    slow_start.note_told(told(Duration::from_secs(2)), at(10_050));
+    slow_start.record_report(told(Duration::from_secs(2)), at(10_050));
     let wait = slow_start.wait(0, at(10_050));
     assert!(wait >= Duration::from_millis(950), "{wait:?}");
     assert!(start_all(&mut slow_start, at(10_050) + wait) > 0);
@@ -80,7 +80,7 @@
 #[test]
 fn wait_upstream_started_with_node() {
     let mut slow_start = SlowStart::new(at(10_000));
-    slow_start.note_told(told(LASTS), at(10_050));
+    slow_start.record_report(told(LASTS), at(10_050));
     assert_eq!(start_all(&mut slow_start, at(10_050)), LIMIT);
     assert!(slow_start.wait(0, at(10_060)) >= Duration::from_millis(950));
     assert!(slow_start.wait(LIMIT, at(10_060)) >= Duration::from_millis(1_950));
@@ -91,9 +91,9 @@
 fn wait_counts_starts_before() {
     let mut slow_start = SlowStart::new(at(0));
     for millis in [5_000, 5_100, 5_200, 5_300] {
-        slow_start.note_start(at(millis));
+        slow_start.record_start(at(millis));
     }
-    slow_start.note_told(told(LASTS), at(5_400));
+    slow_start.record_report(told(LASTS), at(5_400));
     assert_eq!(start_all(&mut slow_start, at(5_400)), 1);
     assert_eq!(start_all(&mut slow_start, at(5_900)), 0);
     assert_eq!(start_all(&mut slow_start, at(6_025)), 1);
@@ -103,10 +103,10 @@
 #[test]
 fn wait_counts_starts_of_run_before() {
     let mut slow_start = SlowStart::new(at(0));
-    slow_start.note_told(told(LASTS), at(5_000));
+    slow_start.record_report(told(LASTS), at(5_000));
     assert_eq!(start_all(&mut slow_start, at(5_000)), LIMIT);
-    slow_start.begin_run();
-    slow_start.note_told(told(LASTS), at(5_400));
+    slow_start.begin_incarnation();
+    slow_start.record_report(told(LASTS), at(5_400));
     assert_eq!(start_all(&mut slow_start, at(5_400)), 0);
     assert_eq!(start_all(&mut slow_start, at(6_025)), LIMIT);
 }
@@ -114,7 +114,7 @@
 #[test]
 fn wait_ends_when_warm() {
     let mut slow_start = SlowStart::new(at(0));
-    slow_start.note_told(told(Duration::from_millis(300)), at(5_000));
+    slow_start.record_report(told(Duration::from_millis(300)), at(5_000));
     start_all(&mut slow_start, at(5_000));
     assert_eq!(slow_start.wait(0, at(5_000)), Duration::from_millis(300));
     assert_eq!(slow_start.wait(9, at(5_300)), Duration::ZERO);
@@ -133,7 +133,7 @@
     let mut now = at(60_000);
     let mut slow_start = SlowStart::new(now);
     let mut cold_since = now;
-    slow_start.note_told(told(LASTS), now);
+    slow_start.record_report(told(LASTS), now);
     let mut starts: Vec<Timestamp> = Vec::new();
     for (event, pause) in events {
         now = now + Duration::from_millis(1 + u64::from(*pause % 700));
@@ -144,18 +144,18 @@
                 now = now + Duration::from_millis(150);
                 slow_start = SlowStart::new(now);
                 let left = LASTS.saturating_sub(now.since(cold_since));
-                slow_start.note_told(told(left), now);
+                slow_start.record_report(told(left), now);
             }
             1 => {
                 cold_since = now;
-                slow_start.begin_run();
-                slow_start.note_told(told(LASTS), now);
+                slow_start.begin_incarnation();
+                slow_start.record_report(told(LASTS), now);
             }
             2 => {
                 cold_since = now;
-                slow_start.note_told(told(LASTS), now);
+                slow_start.record_report(told(LASTS), now);
             }
-            3 => slow_start.note_told(told(left), now),
+            3 => slow_start.record_report(told(left), now),
             _ => {
                 for _ in 0..start_all(&mut slow_start, now) {
                     starts.push(now);
