--- a/src/coordination/placement.rs
+++ b/src/coordination/placement.rs
@@ -28,11 +28,11 @@
     /// Where it takes requests.
     pub address: SocketAddr,
     /// It is in the availability zone of the entry node.
-    pub near: bool,
+    pub in_local_zone: bool,
     /// Expected load as a share of its limit, the request included; lower is better.
     pub cost: f64,
     /// Time in which a request of the class would end there, if the node said so a moment ago when it had no slot.
-    pub told_finish: Option<Duration>,
+    pub reported_finish: Option<Duration>,
 }
 
 /// The nodes of a service, the ones to ask first in front. `chance` (0 up to 1) gives the start
@@ -53,17 +53,17 @@
         .map(|view| {
             let candidate = PlacementCandidate {
                 address: view.record.address,
-                near: view.record.availability_zone == *zone,
+                in_local_zone: view.record.availability_zone == *zone,
                 cost: estimate_cost(view, usual_failures, now) * weigh_silence(view, now),
-                told_finish: view.reported_finish(class, now),
+                reported_finish: view.reported_finish(class, now),
             };
             (candidate, chance())
         })
         .collect();
     candidates.sort_by(|(a, chance_a), (b, chance_b)| {
-        let near = b.near.cmp(&a.near);
+        let in_local_zone = b.in_local_zone.cmp(&a.in_local_zone);
         let cost = a.cost.total_cmp(&b.cost);
-        near.then(cost).then(chance_a.total_cmp(chance_b))
+        in_local_zone.then(cost).then(chance_a.total_cmp(chance_b))
     });
     candidates
         .into_iter()
--- a/src/coordination/slot_search.rs
+++ b/src/coordination/slot_search.rs
@@ -10,11 +10,11 @@
 use std::{net::SocketAddr, time::Duration, vec::IntoIter};
 
 /// Nodes of the own availability zone asked for a slot at once.
-pub const NEAR_ASKED: usize = 4;
+pub const MAX_LOCAL_ZONE_NODES: usize = 4;
 /// Nodes of other zones asked for a slot at once; each question is paid for by its bytes.
-pub const FAR_ASKED: usize = 2;
+pub const MAX_REMOTE_ZONE_NODES: usize = 2;
 /// The same where the own zone has no node to ask: it is evacuated, or the service has none there.
-pub const FAR_ASKED_ALONE: usize = 4;
+pub const MAX_REMOTE_ZONE_NODES_WITHOUT_LOCAL: usize = 4;
 /// Times a request may be sent to wait for a slot.
 pub const MAX_WAITS: u32 = 2;
 /// Share of the target after which an idempotent request is sent to a second node. 0.45 and 0.8 serve no
@@ -24,18 +24,18 @@
 /// elsewhere, for a class without bytes; and what each KB of a class adds to it, since its way
 /// between zones is paid for. Of 0.1, 0.25, 0.4, 0.55 and 0.7 the middle one serves best where bytes between
 /// zones are cheap (0.016 of a day's worth above 0.55) and loses nothing where they are dear.
-const NEAR_SHARE: (f64, f64) = (0.4, 0.08);
+const LOCAL_WAIT_SHARE: (f64, f64) = (0.4, 0.08);
 /// Most of the target that an answer from the own zone may take to be awaited.
-const NEAR_SHARE_MOST: f64 = 0.95;
+const MAX_LOCAL_WAIT_SHARE: f64 = 0.95;
 /// When to come back after a refusal, at the least and at the most.
-pub const COME_BACK: (Duration, Duration) =
+pub const RETRY_AFTER_RANGE: (Duration, Duration) =
     (Duration::from_millis(100), Duration::from_millis(400));
 
 /// The next step of a search.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SearchStep {
     /// Ask that node for a slot at once or none.
-    AskAtOnce(SocketAddr),
+    TryNode(SocketAddr),
     /// Let the request wait at that node, if it ends there in time.
     WaitAt {
         /// The node.
@@ -50,42 +50,42 @@
 /// Where in its search a request is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
-    Near,
-    Far,
+    LocalZone,
+    RemoteZones,
     Wait,
 }
 
 /// A node that refused, and when the request would have ended there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Offer {
+pub struct Refusal {
     /// The node.
     pub node: SocketAddr,
     /// It is in the availability zone of the entry node.
-    pub near: bool,
+    pub in_local_zone: bool,
     /// Time in which the request would have ended.
-    pub finish: Duration,
+    pub finish_in: Duration,
 }
 
 /// How much time a request has.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SearchTime {
     /// Since it came.
-    pub spent: Duration,
+    pub elapsed: Duration,
     /// Until its deadline.
-    pub left: Duration,
+    pub remaining: Duration,
 }
 
 /// The search of one request.
 #[derive(Clone, Debug)]
 pub struct SlotSearch {
-    near: IntoIter<PlacementCandidate>,
-    far: IntoIter<PlacementCandidate>,
+    local_zone: IntoIter<PlacementCandidate>,
+    remote_zones: IntoIter<PlacementCandidate>,
     phase: Phase,
-    offers: Vec<Offer>,
+    refusals: Vec<Refusal>,
     waits: u32,
     target: Duration,
     /// Share of the target within which the own zone is soon enough.
-    near_share: f64,
+    local_wait_share: f64,
 }
 
 impl SlotSearch {
@@ -93,48 +93,49 @@
     /// takes with its answer.
     #[must_use]
     pub fn begin(candidates: Vec<PlacementCandidate>, target: Duration, kilobytes: f64) -> Self {
-        let (near, far): (Vec<_>, Vec<_>) =
-            candidates.into_iter().partition(|candidate| candidate.near);
-        let near: Vec<_> = near.into_iter().take(NEAR_ASKED).collect();
-        let far_asked = match near.is_empty() {
+        let (local_zone, remote_zones): (Vec<_>, Vec<_>) = candidates
+            .into_iter()
+            .partition(|candidate| candidate.in_local_zone);
+        let local_zone: Vec<_> = local_zone.into_iter().take(MAX_LOCAL_ZONE_NODES).collect();
+        let max_remote_nodes = match local_zone.is_empty() {
             _ if Mechanism::CrossZoneRequests.is_disabled() => 0,
-            true => FAR_ASKED_ALONE,
-            false => FAR_ASKED,
+            true => MAX_REMOTE_ZONE_NODES_WITHOUT_LOCAL,
+            false => MAX_REMOTE_ZONE_NODES,
         };
-        let far: Vec<_> = far.into_iter().take(far_asked).collect();
+        let remote_zones: Vec<_> = remote_zones.into_iter().take(max_remote_nodes).collect();
         let (share, each_kb) = if Mechanism::LocalZonePreference.is_disabled() {
             (0.0, 0.0)
         } else {
-            NEAR_SHARE
+            LOCAL_WAIT_SHARE
         };
         Self {
-            near: near.into_iter(),
-            far: far.into_iter(),
-            phase: Phase::Near,
-            offers: Vec::new(),
+            local_zone: local_zone.into_iter(),
+            remote_zones: remote_zones.into_iter(),
+            phase: Phase::LocalZone,
+            refusals: Vec::new(),
             waits: 0,
             target,
-            near_share: (share + each_kb * kilobytes).min(NEAR_SHARE_MOST),
+            local_wait_share: (share + each_kb * kilobytes).min(MAX_LOCAL_WAIT_SHARE),
         }
     }
 
     /// Notes that a node had no slot in time.
-    pub fn note_offer(&mut self, offer: Offer) {
-        self.offers.push(offer);
+    pub fn record_refusal(&mut self, refusal: Refusal) {
+        self.refusals.push(refusal);
     }
 
     /// Notes that a node takes no work at all. If the request waited there, the nodes of other zones that were not asked, since the
     /// wait seemed short enough, are asked next.
-    pub fn reopen(&mut self) {
+    pub fn continue_in_remote_zones(&mut self) {
         if self.phase == Phase::Wait {
-            self.phase = Phase::Far;
+            self.phase = Phase::RemoteZones;
         }
     }
 
     /// Whether a node is known that has no slot in time.
     #[must_use]
-    pub fn has_offers(&self) -> bool {
-        !self.offers.is_empty()
+    pub fn has_refusals(&self) -> bool {
+        !self.refusals.is_empty()
     }
 
     /// Whether the request was sent to wait.
@@ -145,25 +146,25 @@
 
     /// The next step.
     pub fn find_next(&mut self, time: SearchTime) -> SearchStep {
-        if self.phase == Phase::Near {
-            if let Some(next) = self.near.next() {
-                return SearchStep::AskAtOnce(next.address);
+        if self.phase == Phase::LocalZone {
+            if let Some(next) = self.local_zone.next() {
+                return SearchStep::TryNode(next.address);
             }
-            self.phase = if self.is_near_soon_enough(time) {
+            self.phase = if self.is_local_wait_short_enough(time) {
                 Phase::Wait
             } else {
-                Phase::Far
+                Phase::RemoteZones
             };
         }
-        if self.phase == Phase::Far {
-            while let Some(next) = self.far.next() {
-                let Some(finish) = next.told_finish else {
-                    return SearchStep::AskAtOnce(next.address);
+        if self.phase == Phase::RemoteZones {
+            while let Some(next) = self.remote_zones.next() {
+                let Some(finish_in) = next.reported_finish else {
+                    return SearchStep::TryNode(next.address);
                 };
-                self.note_offer(Offer {
+                self.record_refusal(Refusal {
                     node: next.address,
-                    near: false,
-                    finish,
+                    in_local_zone: false,
+                    finish_in,
                 });
             }
             self.phase = Phase::Wait;
@@ -172,47 +173,54 @@
     }
 
     /// Whether the own zone would answer soon enough that asking another is not worth the bytes.
-    fn is_near_soon_enough(&self, time: SearchTime) -> bool {
-        let soonest = self.offers.iter().map(|offer| offer.finish).min();
-        let soon = self.target.mul_f64(self.near_share);
-        soonest.is_some_and(|finish| time.spent + finish <= soon)
+    fn is_local_wait_short_enough(&self, time: SearchTime) -> bool {
+        let soonest = self.refusals.iter().map(|refusal| refusal.finish_in).min();
+        let soon = self.target.mul_f64(self.local_wait_share);
+        soonest.is_some_and(|finish_in| time.elapsed + finish_in <= soon)
     }
 
     fn wait_at_soonest(&mut self, time: SearchTime) -> SearchStep {
         if self.waits >= MAX_WAITS {
             return SearchStep::GiveUp;
         }
-        let penalty = self.target.mul_f64(1.0 - NEAR_SHARE_MOST);
-        let cost = |offer: &Offer| offer.finish + if offer.near { Duration::ZERO } else { penalty };
-        let soonest = (0..self.offers.len()).min_by_key(|index| cost(&self.offers[*index]));
+        let penalty = self.target.mul_f64(1.0 - MAX_LOCAL_WAIT_SHARE);
+        let cost = |refusal: &Refusal| {
+            refusal.finish_in
+                + if refusal.in_local_zone {
+                    Duration::ZERO
+                } else {
+                    penalty
+                }
+        };
+        let soonest = (0..self.refusals.len()).min_by_key(|index| cost(&self.refusals[*index]));
         let Some(index) = soonest else {
             return SearchStep::GiveUp;
         };
-        let offer = self.offers.swap_remove(index);
-        let target_left = self.target.saturating_sub(time.spent).min(time.left);
-        let within = if offer.finish <= target_left {
+        let refusal = self.refusals.swap_remove(index);
+        let target_left = self.target.saturating_sub(time.elapsed).min(time.remaining);
+        let within = if refusal.finish_in <= target_left {
             target_left
         } else {
-            time.left
+            time.remaining
         };
-        if offer.finish > within {
+        if refusal.finish_in > within {
             return SearchStep::GiveUp;
         }
         self.waits += 1;
-        let node = offer.node;
+        let node = refusal.node;
         SearchStep::WaitAt { node, within }
     }
 
     /// When a refused client should come back: once what kept its request from being in time is over.
     /// `spread`, about 1, keeps clients from coming back together.
     #[must_use]
-    pub fn find_come_back(&self, spread: f64) -> Duration {
-        let (least, most) = COME_BACK;
+    pub fn find_retry_after(&self, spread: f64) -> Duration {
+        let (least, most) = RETRY_AFTER_RANGE;
         if Mechanism::RetryAfterEstimate.is_disabled() {
             return least.mul_f64(spread);
         }
-        let soonest = self.offers.iter().map(|offer| offer.finish).min();
-        let wait = soonest.map_or(least, |finish| finish.saturating_sub(self.target));
+        let soonest = self.refusals.iter().map(|refusal| refusal.finish_in).min();
+        let wait = soonest.map_or(least, |finish_in| finish_in.saturating_sub(self.target));
         wait.clamp(least, most).mul_f64(spread)
     }
 }
--- a/src/proxy/entry/request_router.rs
+++ b/src/proxy/entry/request_router.rs
@@ -193,11 +193,11 @@
         }
         let now = self.core.timers.now();
         let time = SearchTime {
-            spent: now.since(self.call.arrived),
-            left: self.call.deadline.since(now),
+            elapsed: now.since(self.call.arrived),
+            remaining: self.call.deadline.since(now),
         };
         match self.search.find_next(time) {
-            SearchStep::AskAtOnce(node) => self.start_attempt(node, Duration::ZERO),
+            SearchStep::TryNode(node) => self.start_attempt(node, Duration::ZERO),
             SearchStep::WaitAt { node, within } => self.start_attempt(node, within),
             SearchStep::GiveUp => {
                 self.set_refusal_without_attempt();
@@ -212,7 +212,7 @@
         if self.last_refusal != RefusalReason::NoUpstream {
             return;
         }
-        if self.search.has_offers() {
+        if self.search.has_refusals() {
             self.last_refusal = RefusalReason::QueueFull;
         } else if has_evacuated_upstreams(&self.core, &self.call.service) {
             self.last_refusal = RefusalReason::Evacuated;
@@ -255,7 +255,7 @@
             return RequestOutcome::Refused(RefusalReason::Quarantined, left);
         }
         let spread = rand::rng().random_range(RETRY_AFTER_SPREAD);
-        RequestOutcome::Refused(self.last_refusal, self.search.find_come_back(spread))
+        RequestOutcome::Refused(self.last_refusal, self.search.find_retry_after(spread))
     }
 }
 
--- a/src/proxy/entry/request_router/attempt_results.rs
+++ b/src/proxy/entry/request_router/attempt_results.rs
@@ -1,7 +1,7 @@
 //! Decides from the result of an attempt how its request goes on.
 
 use crate::{
-    coordination::slot_search::Offer,
+    coordination::slot_search::Refusal,
     protocol::{
         hop::{AttemptOutcome, HopAnswer},
         outcome::{RefusalReason, UnknownCause},
@@ -82,7 +82,7 @@
                     self.record_offer(to, answer.finish_or_wait);
                 }
                 if reason.is_node_wide() {
-                    self.search.reopen();
+                    self.search.continue_in_remote_zones();
                 }
                 NextStep::TryAnotherNode
             }
@@ -97,10 +97,10 @@
         view.record_refusal(&self.call.route.class, finish, self.core.timers.now());
         let near = view.record.availability_zone == self.core.settings.availability_zone;
         drop(directory);
-        self.search.note_offer(Offer {
+        self.search.record_refusal(Refusal {
             node: address,
-            near,
-            finish,
+            in_local_zone: near,
+            finish_in: finish,
         });
     }
 
--- a/tests/integration/slot_search.rs
+++ b/tests/integration/slot_search.rs
@@ -4,8 +4,9 @@
 use camphorturn::coordination::{
     placement::PlacementCandidate,
     slot_search::{
-        COME_BACK, FAR_ASKED, FAR_ASKED_ALONE, MAX_WAITS, NEAR_ASKED, Offer, SearchStep,
-        SearchTime, SlotSearch, find_hedge_delay,
+        MAX_LOCAL_ZONE_NODES, MAX_REMOTE_ZONE_NODES, MAX_REMOTE_ZONE_NODES_WITHOUT_LOCAL,
+        MAX_WAITS, RETRY_AFTER_RANGE, Refusal, SearchStep, SearchTime, SlotSearch,
+        find_hedge_delay,
     },
 };
 use std::{collections::HashMap, net::SocketAddr, time::Duration};
@@ -17,28 +18,28 @@
     SocketAddr::from(([10, 0, 0, last], 80))
 }
 
-fn candidate(last: u8, near: bool) -> PlacementCandidate {
+fn candidate(last: u8, in_local_zone: bool) -> PlacementCandidate {
     PlacementCandidate {
         address: address(last),
-        near,
+        in_local_zone,
         cost: 1.0,
-        told_finish: None,
+        reported_finish: None,
     }
 }
 
-fn time(spent: u64) -> SearchTime {
-    let spent = Duration::from_millis(spent);
+fn time(elapsed: u64) -> SearchTime {
+    let elapsed = Duration::from_millis(elapsed);
     SearchTime {
-        spent,
-        left: TIMEOUT.saturating_sub(spent),
+        elapsed,
+        remaining: TIMEOUT.saturating_sub(elapsed),
     }
 }
 
-fn offer(last: u8, near: bool, finish: u64) -> Offer {
-    Offer {
+fn offer(last: u8, in_local_zone: bool, finish: u64) -> Refusal {
+    Refusal {
         node: address(last),
-        near,
-        finish: Duration::from_millis(finish),
+        in_local_zone,
+        finish_in: Duration::from_millis(finish),
     }
 }
 
@@ -46,8 +47,8 @@
 fn find_next_own_zone_is_soon_enough() {
     let candidates = vec![candidate(1, true), candidate(2, false)];
     let mut search = SlotSearch::begin(candidates, TARGET, 0.0);
-    assert_eq!(search.find_next(time(0)), SearchStep::AskAtOnce(address(1)));
-    search.note_offer(offer(1, true, 110));
+    assert_eq!(search.find_next(time(0)), SearchStep::TryNode(address(1)));
+    search.record_refusal(offer(1, true, 110));
     assert_eq!(
         search.find_next(time(2)),
         SearchStep::WaitAt {
@@ -65,9 +66,9 @@
     for last in 1..=4 {
         assert_eq!(
             search.find_next(time(0)),
-            SearchStep::AskAtOnce(address(last))
+            SearchStep::TryNode(address(last))
         );
-        search.note_offer(offer(last, false, 110));
+        search.record_refusal(offer(last, false, 110));
     }
     assert!(matches!(
         search.find_next(time(2)),
@@ -80,12 +81,12 @@
 #[test]
 fn find_next_takes_what_other_zones_told() {
     let full = PlacementCandidate {
-        told_finish: Some(Duration::from_millis(250)),
+        reported_finish: Some(Duration::from_millis(250)),
         ..candidate(2, false)
     };
     let mut search = SlotSearch::begin(vec![full, candidate(3, false)], TARGET, 0.0);
-    assert_eq!(search.find_next(time(0)), SearchStep::AskAtOnce(address(3)));
-    search.note_offer(offer(3, false, 280));
+    assert_eq!(search.find_next(time(0)), SearchStep::TryNode(address(3)));
+    search.record_refusal(offer(3, false, 280));
     assert_eq!(
         search.find_next(time(3)),
         SearchStep::WaitAt {
@@ -101,8 +102,8 @@
         let candidates = vec![candidate(1, true), candidate(2, false)];
         let mut search = SlotSearch::begin(candidates, TARGET, kilobytes);
         search.find_next(time(0));
-        search.note_offer(offer(1, true, 200));
-        search.find_next(time(2)) == SearchStep::AskAtOnce(address(2))
+        search.record_refusal(offer(1, true, 200));
+        search.find_next(time(2)) == SearchStep::TryNode(address(2))
     };
     assert!(asks_far(0.0));
     assert!(!asks_far(5.0));
@@ -112,7 +113,7 @@
 fn find_next_late_everywhere_waits_until_the_deadline() {
     let mut search = SlotSearch::begin(vec![candidate(1, true)], TARGET, 0.0);
     search.find_next(time(0));
-    search.note_offer(offer(1, true, 500));
+    search.record_refusal(offer(1, true, 500));
     let within = Duration::from_millis(1_190);
     let node = address(1);
     assert_eq!(
@@ -125,7 +126,7 @@
 fn find_next_beyond_the_deadline_gives_up() {
     let mut search = SlotSearch::begin(vec![candidate(1, true)], TARGET, 0.0);
     search.find_next(time(0));
-    search.note_offer(offer(1, true, 1_300));
+    search.record_refusal(offer(1, true, 1_300));
     assert_eq!(search.find_next(time(10)), SearchStep::GiveUp);
 }
 
@@ -139,17 +140,17 @@
             let candidates: Vec<PlacementCandidate> = zones
                 .iter()
                 .zip(1..=u8::MAX)
-                .map(|(near, last)| candidate(last, *near))
+                .map(|(in_local_zone, last)| candidate(last, *in_local_zone))
                 .collect();
             let mut search = SlotSearch::begin(candidates.clone(), TARGET, f64::from(*kilobytes));
             let mut asked: Vec<PlacementCandidate> = Vec::new();
             let mut told: HashMap<SocketAddr, Duration> = HashMap::new();
             let mut waits = 0;
-            let mut spent = 0;
+            let mut elapsed = 0;
             for (finish, passed) in answers {
-                spent += u64::from(*passed);
-                let node = match search.find_next(time(spent)) {
-                    SearchStep::AskAtOnce(node) => {
+                elapsed += u64::from(*passed);
+                let node = match search.find_next(time(elapsed)) {
+                    SearchStep::TryNode(node) => {
                         let known = candidates.iter().find(|known| known.address == node);
                         asked.push(*known.expect("a candidate"));
                         node
@@ -157,7 +158,7 @@
                     SearchStep::WaitAt { node, within } => {
                         waits += 1;
                         assert!(told[&node] <= within, "{node} promised more");
-                        assert!(within <= time(spent).left);
+                        assert!(within <= time(elapsed).remaining);
                         node
                     }
                     SearchStep::GiveUp => break,
@@ -165,25 +166,38 @@
                 if let Some(finish) = finish {
                     let finish = Duration::from_millis(u64::from(*finish));
                     told.insert(node, finish);
-                    let near = asked
+                    let in_local_zone = asked
                         .iter()
-                        .any(|known| known.address == node && known.near);
-                    search.note_offer(Offer { node, near, finish });
+                        .any(|known| known.address == node && known.in_local_zone);
+                    search.record_refusal(Refusal {
+                        node,
+                        in_local_zone,
+                        finish_in: finish,
+                    });
                 }
             }
-            let near = asked.iter().filter(|known| known.near).count();
-            let first_far = asked.iter().position(|known| !known.near);
-            let has_near = candidates.iter().any(|candidate| candidate.near);
-            let far_asked = if has_near { FAR_ASKED } else { FAR_ASKED_ALONE };
-            assert!(near <= NEAR_ASKED && asked.len() - near <= far_asked);
-            assert!(first_far.is_none_or(|first| asked[first..].iter().all(|known| !known.near)));
+            let in_local_zone = asked.iter().filter(|known| known.in_local_zone).count();
+            let first_far = asked.iter().position(|known| !known.in_local_zone);
+            let has_near = candidates.iter().any(|candidate| candidate.in_local_zone);
+            let far_asked = if has_near {
+                MAX_REMOTE_ZONE_NODES
+            } else {
+                MAX_REMOTE_ZONE_NODES_WITHOUT_LOCAL
+            };
+            assert!(
+                in_local_zone <= MAX_LOCAL_ZONE_NODES && asked.len() - in_local_zone <= far_asked
+            );
+            assert!(
+                first_far
+                    .is_none_or(|first| asked[first..].iter().all(|known| !known.in_local_zone))
+            );
             assert!(waits <= MAX_WAITS);
             let mut addresses: Vec<SocketAddr> = asked.iter().map(|known| known.address).collect();
             addresses.sort_unstable();
             addresses.dedup();
             assert_eq!(addresses.len(), asked.len(), "a node was asked twice");
-            let come_back = search.find_come_back(1.0);
-            assert!((COME_BACK.0..=COME_BACK.1).contains(&come_back));
+            let come_back = search.find_retry_after(1.0);
+            assert!((RETRY_AFTER_RANGE.0..=RETRY_AFTER_RANGE.1).contains(&come_back));
         });
 }
 
