--- a/src/coordination/slot_queue.rs
+++ b/src/coordination/slot_queue.rs
@@ -13,7 +13,7 @@
 //! time to do something else.
 
 mod forecast;
-mod late_share;
+mod late_start_share;
 
 use crate::{
     coordination::{
@@ -23,7 +23,7 @@
     state::{ablation::Mechanism, timestamp::Timestamp},
 };
 use forecast::forecast_start;
-use late_share::LateShare;
+use late_start_share::LateStartShare;
 use std::time::Duration;
 
 /// Number of a request in the queue or at the upstream.
@@ -36,7 +36,7 @@
     /// Rank; 0 goes first.
     pub priority: u8,
     /// Time in which it has to end to be taken; zero if it wants a slot at once or none.
-    pub within: Duration,
+    pub finish_within: Duration,
     /// Time in which it is to end to be on time; zero if that is over.
     pub target_left: Duration,
     /// Time until its deadline.
@@ -55,7 +55,7 @@
     /// It would not end in time.
     Refuse {
         /// Time in which it would have ended.
-        finish: Duration,
+        finish_in: Duration,
     },
 }
 
@@ -111,7 +111,7 @@
     waiting: Vec<Waiting>,
     next_number: u64,
     slowdown: VmSlowdown,
-    late_share: LateShare,
+    late_start_share: LateStartShare,
     slow_start: SlowStart,
 }
 
@@ -125,7 +125,7 @@
             waiting: Vec::new(),
             next_number: 0,
             slowdown: VmSlowdown::NONE,
-            late_share: LateShare::default(),
+            late_start_share: LateStartShare::default(),
             slow_start: SlowStart::new(now),
         }
     }
@@ -188,23 +188,23 @@
     }
 
     /// Decides on a new request.
-    pub fn offer(&mut self, request: SlotRequest, now: Timestamp) -> SlotDecision {
+    pub fn submit(&mut self, request: SlotRequest, now: Timestamp) -> SlotDecision {
         let on_time = self.forecast(&request, now);
         let fits = on_time <= request.target_left;
         let waiting = self.describe(&request, fits, now);
         if self.may_start(&request, now) {
             self.next_number += 1;
-            self.late_share.note_idle();
+            self.late_start_share.note_idle();
             self.start(&waiting, now);
             return SlotDecision::Run(waiting.number);
         }
-        let finish = if fits {
+        let finish_in = if fits {
             on_time
         } else {
             self.forecast_late(&request, now)
         };
-        if finish > request.within {
-            return SlotDecision::Refuse { finish };
+        if finish_in > request.finish_within {
+            return SlotDecision::Refuse { finish_in };
         }
         self.next_number += 1;
         self.waiting.push(waiting);
@@ -227,7 +227,7 @@
     /// Whether a new request runs at once. At a slow moment one that wants a slot at once goes to another node.
     fn may_start(&self, request: &SlotRequest, now: Timestamp) -> bool {
         let has_room = self.has_room(now) && self.waiting.is_empty();
-        let goes_elsewhere = self.slowdown.is_above_baseline() && request.within.is_zero();
+        let goes_elsewhere = self.slowdown.is_above_baseline() && request.finish_within.is_zero();
         has_room && self.slowdown.should_start_now(request.expected) && !goes_elsewhere
     }
 
@@ -309,7 +309,9 @@
             .filter(|waiting| waiting.rank(now) <= rank)
             .map(|waiting| waiting.expected)
             .sum();
-        let wait = self.late_share.stretch(ahead, request.expected, self.limit);
+        let wait = self
+            .late_start_share
+            .stretch(ahead, request.expected, self.limit);
         self.forecast(request, now) + self.slowdown.estimate_baseline_duration(wait)
     }
 
@@ -336,7 +338,8 @@
             };
             let late_waits = self.waiting.iter().any(|waiting| waiting.is_late(now));
             let next = self.waiting.remove(index);
-            self.late_share.note_start(late_waits, next.is_late(now));
+            self.late_start_share
+                .note_start(late_waits, next.is_late(now));
             self.start(&next, now);
             actions.push(SlotAction::Start(next.number));
         }
--- a/src/coordination/slot_queue/late_share.rs
+++ b/src/coordination/slot_queue/late_start_share.rs
@@ -15,15 +15,15 @@
 
 /// A moving average over starts that a late request waited for. Starts at 1: nothing speaks against waiting yet.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct LateShare(f64);
+pub struct LateStartShare(f64);
 
-impl Default for LateShare {
+impl Default for LateStartShare {
     fn default() -> Self {
         Self(1.0)
     }
 }
 
-impl LateShare {
+impl LateStartShare {
     /// Learns from a start out of the queue.
     pub fn note_start(&mut self, late_waits: bool, starts_late: bool) {
         if late_waits {
--- a/src/proxy/executing.rs
+++ b/src/proxy/executing.rs
@@ -76,7 +76,9 @@
     line.note_decision();
     let number = match offer(core, hop, arrived) {
         SlotDecision::Run(number) => number,
-        SlotDecision::Refuse { finish } => return refuse(core, RefusalReason::QueueFull, finish),
+        SlotDecision::Refuse { finish_in } => {
+            return refuse(core, RefusalReason::QueueFull, finish_in);
+        }
         SlotDecision::Wait(number) => {
             if !wait_for_slot(core, number).await {
                 let (reason, finish) = find_refusal(core, hop, digest)
@@ -120,12 +122,12 @@
     let spent = now.since(arrived);
     let request = SlotRequest {
         priority: hop.priority,
-        within: hop.finish_within.saturating_sub(spent),
+        finish_within: hop.finish_within.saturating_sub(spent),
         target_left: hop.target_left.saturating_sub(spent),
         time_left: hop.time_left.saturating_sub(spent),
         expected: core.slots.expect(&hop.class),
     };
-    core.slots.queue.borrow_mut().offer(request, now)
+    core.slots.queue.borrow_mut().submit(request, now)
 }
 
 /// Why a request is not run, and the time after which it could be, if that is known.
--- a/tests/integration/overload.rs
+++ b/tests/integration/overload.rs
@@ -118,15 +118,19 @@
     fn arrive(&mut self, now: Timestamp) {
         let mut request = SlotRequest {
             priority: 1,
-            within: Duration::ZERO,
+            finish_within: Duration::ZERO,
             target_left: TARGET,
             time_left: DEADLINE,
             expected: EXPECTED,
         };
-        let mut decision = self.queue.offer(request, now);
-        if let SlotDecision::Refuse { finish } = decision {
-            request.within = if finish <= TARGET { TARGET } else { DEADLINE };
-            decision = self.queue.offer(request, now);
+        let mut decision = self.queue.submit(request, now);
+        if let SlotDecision::Refuse { finish_in } = decision {
+            request.finish_within = if finish_in <= TARGET {
+                TARGET
+            } else {
+                DEADLINE
+            };
+            decision = self.queue.submit(request, now);
         }
         match decision {
             SlotDecision::Run(number) => {
--- a/tests/integration/slot_queue.rs
+++ b/tests/integration/slot_queue.rs
@@ -19,11 +19,11 @@
     Timestamp(millis * 1_000)
 }
 
-fn request(priority: u8, within: u64) -> SlotRequest {
+fn request(priority: u8, finish_within: u64) -> SlotRequest {
     SlotRequest {
         priority,
-        within: ms(within),
-        target_left: ms(within),
+        finish_within: ms(finish_within),
+        target_left: ms(finish_within),
         time_left: ms(1_000),
         expected: ms(100),
     }
@@ -48,21 +48,21 @@
 fn offer_at_once_or_none() {
     let mut queue = SlotQueue::new(1, START);
     assert!(matches!(
-        queue.offer(request(1, 0), START),
+        queue.submit(request(1, 0), START),
         SlotDecision::Run(_)
     ));
-    let finish = ms(200);
+    let finish_in = ms(200);
     assert_eq!(
-        queue.offer(request(1, 0), START),
-        SlotDecision::Refuse { finish }
+        queue.submit(request(1, 0), START),
+        SlotDecision::Refuse { finish_in }
     );
 }
 
 #[test]
 fn offer_waits_if_it_ends_in_time() {
     let mut queue = SlotQueue::new(1, START);
-    let first = number_of(queue.offer(request(1, 500), START));
-    let second = queue.offer(request(1, 500), START);
+    let first = number_of(queue.submit(request(1, 500), START));
+    let second = queue.submit(request(1, 500), START);
     assert!(matches!(second, SlotDecision::Wait(_)));
     let started = queue.finish(first, at(100));
     assert_eq!(started, [SlotAction::Start(number_of(second))]);
@@ -71,9 +71,9 @@
 #[test]
 fn finish_starts_higher_rank_first() {
     let mut queue = SlotQueue::new(1, START);
-    let first = number_of(queue.offer(request(2, 900), START));
-    let low = number_of(queue.offer(request(2, 900), START));
-    let high = number_of(queue.offer(request(0, 900), START));
+    let first = number_of(queue.submit(request(2, 900), START));
+    let low = number_of(queue.submit(request(2, 900), START));
+    let high = number_of(queue.submit(request(0, 900), START));
     assert_eq!(queue.finish(first, at(50)), [SlotAction::Start(high)]);
     assert_eq!(queue.finish(high, at(150)), [SlotAction::Start(low)]);
 }
@@ -84,9 +84,9 @@
 #[test]
 fn finish_starts_those_on_time_first() {
     let mut queue = SlotQueue::new(1, START);
-    let first = number_of(queue.offer(request(1, 900), START));
-    let late = number_of(queue.offer(request(1, 300), START));
-    let on_time = number_of(queue.offer(request(1, 900), at(10)));
+    let first = number_of(queue.submit(request(1, 900), START));
+    let late = number_of(queue.submit(request(1, 300), START));
+    let on_time = number_of(queue.submit(request(1, 900), at(10)));
     assert_eq!(queue.finish(first, at(400)), [SlotAction::Start(on_time)]);
     assert_eq!(queue.finish(on_time, at(500)), [SlotAction::Start(late)]);
 }
@@ -97,12 +97,12 @@
 fn slow_moment_starts_nothing_that_gains_by_waiting() {
     let mut queue = SlotQueue::new(2, START);
     queue.set_slowdown(slow(), START);
-    let finish = ms(300);
+    let finish_in = ms(300);
     assert_eq!(
-        queue.offer(request(1, 0), START),
-        SlotDecision::Refuse { finish }
+        queue.submit(request(1, 0), START),
+        SlotDecision::Refuse { finish_in }
     );
-    let waiting = queue.offer(request(1, 500), START);
+    let waiting = queue.submit(request(1, 500), START);
     assert!(matches!(waiting, SlotDecision::Wait(_)));
     let started = queue.set_slowdown(VmSlowdown::NONE, at(40));
     assert_eq!(started, [SlotAction::Start(number_of(waiting))]);
@@ -116,7 +116,7 @@
         expected: ms(15),
         ..request(1, 80)
     };
-    assert!(matches!(queue.offer(short, START), SlotDecision::Run(_)));
+    assert!(matches!(queue.submit(short, START), SlotDecision::Run(_)));
 }
 
 /// Symptom: short calls are refused though they would end in time. Sequence: all slots are taken on a slow
@@ -125,21 +125,21 @@
 #[test]
 fn slow_moment_forecast_of_short_work() {
     let mut queue = SlotQueue::new(1, START);
-    number_of(queue.offer(request(1, 500), START));
+    number_of(queue.submit(request(1, 500), START));
     queue.set_slowdown(slow(), at(50));
     let short = SlotRequest {
         expected: ms(15),
         time_left: ms(200),
         ..request(1, 150)
     };
-    assert!(matches!(queue.offer(short, at(50)), SlotDecision::Wait(_)));
+    assert!(matches!(queue.submit(short, at(50)), SlotDecision::Wait(_)));
 }
 
 #[test]
 fn expire_refuses_what_misses_its_deadline() {
     let mut queue = SlotQueue::new(1, START);
-    number_of(queue.offer(request(1, 900), START));
-    let waiting = number_of(queue.offer(request(1, 900), START));
+    number_of(queue.submit(request(1, 900), START));
+    let waiting = number_of(queue.submit(request(1, 900), START));
     assert_eq!(queue.next_expiry(START), Some(at(900)));
     assert_eq!(queue.expire(at(899)), []);
     assert_eq!(queue.expire(at(900)), [SlotAction::Expire(waiting)]);
@@ -148,8 +148,8 @@
 #[test]
 fn withdraw_frees_the_place() {
     let mut queue = SlotQueue::new(1, START);
-    let first = number_of(queue.offer(request(1, 900), START));
-    let waiting = number_of(queue.offer(request(1, 900), START));
+    let first = number_of(queue.submit(request(1, 900), START));
+    let waiting = number_of(queue.submit(request(1, 900), START));
     assert!(queue.withdraw(waiting));
     assert!(!queue.withdraw(waiting));
     assert_eq!(queue.finish(first, at(10)), []);
@@ -210,14 +210,14 @@
 ) -> Vec<SlotAction> {
     match step % 5 {
         0 | 1 => {
-            match queue.offer(request(choice % 3, u64::from(choice) * 4), now) {
+            match queue.submit(request(choice % 3, u64::from(choice) * 4), now) {
                 SlotDecision::Run(number) => {
                     checker.running.insert(number.0);
                 }
                 SlotDecision::Wait(number) => {
                     checker.waiting.insert(number.0);
                 }
-                SlotDecision::Refuse { finish } => assert!(finish >= ms(100)),
+                SlotDecision::Refuse { finish_in } => assert!(finish_in >= ms(100)),
             }
             Vec::new()
         }
