--- a/src/coordination/retiring.rs
+++ b/src/coordination/retiring.rs
@@ -24,11 +24,11 @@
 /// messages a second of one node, below 1 KB/s.
 const ASK_EVERY: Duration = Duration::from_mins(5);
 /// Other nodes that must fail to reach it too.
-pub const WITNESSES: usize = 2;
+pub const REQUIRED_CONFIRMATIONS: usize = 2;
 
 /// A record as the watch sees it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct WatchedRecord {
+pub struct TrackedRecord {
     /// Where the node takes messages from nodes.
     pub address: SocketAddr,
     /// Availability zone of its VM.
@@ -38,58 +38,59 @@
 }
 
 #[derive(Clone, Debug)]
-struct Watched {
-    record: WatchedRecord,
+struct TrackedNode {
+    record: TrackedRecord,
     /// Last sign of the node, or the begin of the watch.
-    heard: Timestamp,
-    asked: Timestamp,
+    last_contact: Timestamp,
+    last_probe: Timestamp,
 }
 
 /// What the watching node knows of the others.
 #[derive(Clone, Debug, Default)]
-pub struct RetirementWatch {
-    nodes: BTreeMap<SocketAddr, Watched>,
+pub struct RetirementTracker {
+    nodes: BTreeMap<SocketAddr, TrackedNode>,
 }
 
-impl RetirementWatch {
+impl RetirementTracker {
     /// Takes in the records that the store holds now. A new one, or a new record of a known node, counts as a sign of it.
-    pub fn follow(&mut self, records: impl Iterator<Item = WatchedRecord>, now: Timestamp) {
+    pub fn apply_records(&mut self, records: impl Iterator<Item = TrackedRecord>, now: Timestamp) {
         let mut before = std::mem::take(&mut self.nodes);
         for record in records {
             let known = before.remove(&record.address);
-            let watched = known.filter(|known| known.record.revision == record.revision);
-            let watched = watched.unwrap_or_else(|| Watched {
+            let tracked = known.filter(|known| known.record.revision == record.revision);
+            let tracked = tracked.unwrap_or_else(|| TrackedNode {
                 record: record.clone(),
-                heard: now,
-                asked: now,
+                last_contact: now,
+                last_probe: now,
             });
-            self.nodes.insert(record.address, watched);
+            self.nodes.insert(record.address, tracked);
         }
     }
 
     /// Takes in a sign of a node.
-    pub fn note_heard(&mut self, address: SocketAddr, at: Timestamp) {
-        if let Some(watched) = self.nodes.get_mut(&address) {
-            watched.heard = watched.heard.max(at);
+    pub fn record_contact(&mut self, address: SocketAddr, at: Timestamp) {
+        if let Some(tracked) = self.nodes.get_mut(&address) {
+            tracked.last_contact = tracked.last_contact.max(at);
         }
     }
 
     /// Nodes to be asked now, at most `most`, those that were asked longest ago first. They count as asked.
-    pub fn take_due(&mut self, most: usize, now: Timestamp) -> Vec<SocketAddr> {
-        let is_due = |watched: &&Watched| {
-            now.since(watched.heard) >= ASK_EVERY && now.since(watched.asked) >= ASK_EVERY
+    pub fn take_due_probes(&mut self, most: usize, now: Timestamp) -> Vec<SocketAddr> {
+        let is_due = |tracked: &&TrackedNode| {
+            now.since(tracked.last_contact) >= ASK_EVERY
+                && now.since(tracked.last_probe) >= ASK_EVERY
         };
         let mut due: Vec<(Timestamp, SocketAddr)> = self
             .nodes
             .values()
             .filter(is_due)
-            .map(|watched| (watched.asked, watched.record.address))
+            .map(|tracked| (tracked.last_probe, tracked.record.address))
             .collect();
         due.sort_unstable();
         due.truncate(most);
         for (_, address) in &due {
-            if let Some(watched) = self.nodes.get_mut(address) {
-                watched.asked = now;
+            if let Some(tracked) = self.nodes.get_mut(address) {
+                tracked.last_probe = now;
             }
         }
         due.into_iter().map(|(_, address)| address).collect()
@@ -97,7 +98,7 @@
 
     /// Questions that must be asked in each `step` to reach every node in time.
     #[must_use]
-    pub fn share_of(&self, step: Duration) -> usize {
+    pub fn count_probes_per_interval(&self, step: Duration) -> usize {
         let steps = (ASK_EVERY.as_millis() / step.as_millis().max(1)).max(1);
         let steps = usize::try_from(steps).unwrap_or(usize::MAX);
         self.nodes.len().div_ceil(steps)
@@ -105,29 +106,29 @@
 
     /// Nodes that count as gone, unless another node can reach them.
     #[must_use]
-    pub fn list_gone(&self, now: Timestamp) -> Vec<SocketAddr> {
+    pub fn list_suspects(&self, now: Timestamp) -> Vec<SocketAddr> {
         let alive: BTreeSet<&AvailabilityZoneName> = self
             .nodes
             .values()
-            .filter(|watched| now.since(watched.heard) < SILENT_FOR)
-            .map(|watched| &watched.record.availability_zone)
+            .filter(|tracked| now.since(tracked.last_contact) < SILENT_FOR)
+            .map(|tracked| &tracked.record.availability_zone)
             .collect();
-        let is_gone = |watched: &&Watched| {
-            let bound = if alive.contains(&watched.record.availability_zone) {
+        let is_gone = |tracked: &&TrackedNode| {
+            let bound = if alive.contains(&tracked.record.availability_zone) {
                 SILENT_FOR
             } else {
                 ZONE_SILENT_FOR
             };
-            now.since(watched.heard) >= bound
+            now.since(tracked.last_contact) >= bound
         };
         let gone = self.nodes.values().filter(is_gone);
-        gone.map(|watched| watched.record.address).collect()
+        gone.map(|tracked| tracked.record.address).collect()
     }
 
     /// Nodes that can be asked whether they reach `suspect`, those of its zone first: a link between zones may
     /// be all that is wrong.
     #[must_use]
-    pub fn list_witnesses(&self, suspect: SocketAddr, now: Timestamp) -> Vec<SocketAddr> {
+    pub fn list_confirming_nodes(&self, suspect: SocketAddr, now: Timestamp) -> Vec<SocketAddr> {
         let Some(zone) = self.nodes.get(&suspect) else {
             return Vec::new();
         };
@@ -135,11 +136,11 @@
         let mut witnesses: Vec<(bool, SocketAddr)> = self
             .nodes
             .values()
-            .filter(|watched| watched.record.address != suspect)
-            .filter(|watched| now.since(watched.heard) < SILENT_FOR)
-            .map(|watched| {
-                let elsewhere = watched.record.availability_zone != *zone;
-                (elsewhere, watched.record.address)
+            .filter(|tracked| tracked.record.address != suspect)
+            .filter(|tracked| now.since(tracked.last_contact) < SILENT_FOR)
+            .map(|tracked| {
+                let elsewhere = tracked.record.availability_zone != *zone;
+                (elsewhere, tracked.record.address)
             })
             .collect();
         witnesses.sort_unstable();
@@ -149,26 +150,26 @@
 
 /// What other nodes said of one that seems gone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Testimony {
+pub enum Reachability {
     /// All that answered can't reach it.
-    Gone,
+    Unreachable,
     /// One of them reaches it.
-    Alive,
+    Reachable,
     /// Too few of them answered.
-    Open,
+    Inconclusive,
 }
 
 /// Weighs the answers of witnesses: whether they reach the node; none from one that did not answer. A node that
 /// finds no witness in the whole mesh may be the one that is cut off, so silence proves nothing.
 #[must_use]
-pub fn weigh_testimony(answers: &[Option<bool>]) -> Testimony {
+pub fn judge_reachability(answers: &[Option<bool>]) -> Reachability {
     if answers.contains(&Some(true)) {
-        return Testimony::Alive;
+        return Reachability::Reachable;
     }
     let denied = answers.iter().filter(|answer| **answer == Some(false));
-    if denied.count() >= WITNESSES {
-        Testimony::Gone
+    if denied.count() >= REQUIRED_CONFIRMATIONS {
+        Reachability::Unreachable
     } else {
-        Testimony::Open
+        Reachability::Inconclusive
     }
 }
--- a/src/proxy/retiring.rs
+++ b/src/proxy/retiring.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     coordination::retiring::{
-        RetirementWatch, Testimony, WITNESSES, WatchedRecord, weigh_testimony,
+        REQUIRED_CONFIRMATIONS, Reachability, RetirementTracker, TrackedRecord, judge_reachability,
     },
     protocol::{
         hop::StateMessage,
@@ -27,12 +27,12 @@
 
 /// Watches the records for as long as this node is the one to do so, until dropped.
 pub async fn retire_lost_nodes<S: StateStore>(core: Rc<ProxyCore>, store: S) {
-    let mut watch = RetirementWatch::default();
+    let mut watch = RetirementTracker::default();
     let mut asked = core.timers.now();
     loop {
         let _ = core.timers.after(STEP).recv_async().await;
         if core.is_stopping() || !core.is_mesh_coordinator() {
-            watch = RetirementWatch::default();
+            watch = RetirementTracker::default();
             let now = core.timers.now();
             if now.since(asked) >= ASK_PREDECESSOR {
                 asked = now;
@@ -42,7 +42,7 @@
         }
         follow_directory(&core, &mut watch);
         ask_due(&core, &mut watch).await;
-        for suspect in watch.list_gone(core.timers.now()) {
+        for suspect in watch.list_suspects(core.timers.now()) {
             retire(&core, &store, &mut watch, suspect).await;
         }
     }
@@ -67,35 +67,35 @@
 }
 
 /// Takes in the records, and what requests tell of their nodes for nothing.
-fn follow_directory(core: &ProxyCore, watch: &mut RetirementWatch) {
+fn follow_directory(core: &ProxyCore, watch: &mut RetirementTracker) {
     let now = core.timers.now();
     let directory = core.directory.borrow();
     let stored = directory.nodes.values();
     let stored = stored.filter(|view| view.revision > 0);
-    watch.follow(stored.map(describe), now);
+    watch.apply_records(stored.map(describe), now);
     for view in directory.nodes.values() {
         if let Some((_, at)) = view.load {
-            watch.note_heard(view.record.address, at);
+            watch.record_contact(view.record.address, at);
         }
     }
 }
 
-fn describe(view: &KnownNode) -> WatchedRecord {
-    WatchedRecord {
+fn describe(view: &KnownNode) -> TrackedRecord {
+    TrackedRecord {
         address: view.record.address,
         availability_zone: view.record.availability_zone.clone(),
         revision: view.revision,
     }
 }
 
-async fn ask_due(core: &Rc<ProxyCore>, watch: &mut RetirementWatch) {
-    let due = watch.take_due(watch.share_of(STEP), core.timers.now());
+async fn ask_due(core: &Rc<ProxyCore>, watch: &mut RetirementTracker) {
+    let due = watch.take_due_probes(watch.count_probes_per_interval(STEP), core.timers.now());
     let asked = due.iter().map(|to| is_reachable(core, *to));
     let reached = join_all(asked).await;
     let now = core.timers.now();
     for (address, reached) in due.into_iter().zip(reached) {
         if reached {
-            watch.note_heard(address, now);
+            watch.record_contact(address, now);
         }
     }
 }
@@ -110,31 +110,34 @@
 async fn retire<S: StateStore>(
     core: &Rc<ProxyCore>,
     store: &S,
-    watch: &mut RetirementWatch,
+    watch: &mut RetirementTracker,
     suspect: SocketAddr,
 ) {
     match ask_witnesses(core, watch, suspect).await {
-        Testimony::Gone => drop_record(core, store, suspect).await,
-        Testimony::Alive => watch.note_heard(suspect, core.timers.now()),
-        Testimony::Open => {}
+        Reachability::Unreachable => drop_record(core, store, suspect).await,
+        Reachability::Reachable => watch.record_contact(suspect, core.timers.now()),
+        Reachability::Inconclusive => {}
     }
 }
 
 async fn ask_witnesses(
     core: &Rc<ProxyCore>,
-    watch: &RetirementWatch,
+    watch: &RetirementTracker,
     suspect: SocketAddr,
-) -> Testimony {
-    let witnesses = watch.list_witnesses(suspect, core.timers.now());
+) -> Reachability {
+    let witnesses = watch.list_confirming_nodes(suspect, core.timers.now());
     let message = StateMessage {
         check_peer: Some(suspect),
         ..StateMessage::default()
     };
-    let asked = witnesses.into_iter().take(WITNESSES).map(|to| {
-        let message = &message;
-        async move { exchange_state(core, to, message).await?.0.peer_reachable }
-    });
-    weigh_testimony(&join_all(asked).await)
+    let asked = witnesses
+        .into_iter()
+        .take(REQUIRED_CONFIRMATIONS)
+        .map(|to| {
+            let message = &message;
+            async move { exchange_state(core, to, message).await?.0.peer_reachable }
+        });
+    judge_reachability(&join_all(asked).await)
 }
 
 /// Drops the record if the store has nothing newer than what is known here: the node may have been started
--- a/tests/integration/retiring.rs
+++ b/tests/integration/retiring.rs
@@ -2,7 +2,7 @@
 
 use bolero::check;
 use camphorturn::{
-    coordination::retiring::{RetirementWatch, Testimony, WatchedRecord, weigh_testimony},
+    coordination::retiring::{Reachability, RetirementTracker, TrackedRecord, judge_reachability},
     proxy::directory::{Directory, StateSource},
     state::{
         incarnation_id::IncarnationId,
@@ -20,8 +20,8 @@
     SocketAddr::from(([10, 0, (number >> 8) as u8, (number & 0xff) as u8], 7_000))
 }
 
-fn watched(number: u16, zone: &str, revision: u64) -> WatchedRecord {
-    WatchedRecord {
+fn watched(number: u16, zone: &str, revision: u64) -> TrackedRecord {
+    TrackedRecord {
         address: address(number),
         availability_zone: zone.into(),
         revision,
@@ -54,19 +54,19 @@
 /// Runs a watch for `span`; nodes in `alive` answer whenever they are asked. Returns the most questions of a
 /// step.
 fn run_watch(
-    watch: &mut RetirementWatch,
-    records: &[WatchedRecord],
+    watch: &mut RetirementTracker,
+    records: &[TrackedRecord],
     alive: &BTreeSet<SocketAddr>,
     (from, span): (Timestamp, Duration),
 ) -> usize {
     let mut most = 0;
     let mut now = from;
     while now.since(from) <= span {
-        watch.follow(records.iter().cloned(), now);
-        let due = watch.take_due(watch.share_of(STEP), now);
+        watch.apply_records(records.iter().cloned(), now);
+        let due = watch.take_due_probes(watch.count_probes_per_interval(STEP), now);
         most = most.max(due.len());
         for to in due.into_iter().filter(|to| alive.contains(to)) {
-            watch.note_heard(to, now);
+            watch.record_contact(to, now);
         }
         now = now + STEP;
     }
@@ -77,12 +77,12 @@
 fn list_gone_after_long_silence() {
     let records = [watched(1, "a", 1), watched(2, "a", 2)];
     let alive = BTreeSet::from([address(1)]);
-    let mut watch = RetirementWatch::default();
+    let mut watch = RetirementTracker::default();
     run_watch(&mut watch, &records, &alive, (Timestamp(0), MINUTE * 29));
     let soon = Timestamp(0) + MINUTE * 29;
-    assert!(watch.list_gone(soon).is_empty());
+    assert!(watch.list_suspects(soon).is_empty());
     run_watch(&mut watch, &records, &alive, (soon, MINUTE * 2));
-    assert_eq!(watch.list_gone(soon + MINUTE * 2), [address(2)]);
+    assert_eq!(watch.list_suspects(soon + MINUTE * 2), [address(2)]);
 }
 
 /// Symptom: after two regions have been apart for an hour, each has forgotten the other. Cause: silence of a
@@ -91,25 +91,25 @@
 fn list_gone_zone_cut_off() {
     let records = [watched(1, "a", 1), watched(2, "b", 2), watched(3, "b", 3)];
     let alive = BTreeSet::from([address(1)]);
-    let mut watch = RetirementWatch::default();
+    let mut watch = RetirementTracker::default();
     run_watch(&mut watch, &records, &alive, (Timestamp(0), MINUTE * 60));
     let hour = Timestamp(0) + MINUTE * 60;
-    assert!(watch.list_gone(hour).is_empty());
+    assert!(watch.list_suspects(hour).is_empty());
     let day = hour + MINUTE * 60 * 24;
     run_watch(&mut watch, &records, &alive, (hour, MINUTE * 60 * 24));
-    assert_eq!(watch.list_gone(day), [address(2), address(3)]);
+    assert_eq!(watch.list_suspects(day), [address(2), address(3)]);
 }
 
 #[test]
 fn list_gone_new_record_counts_as_a_sign() {
-    let mut watch = RetirementWatch::default();
+    let mut watch = RetirementTracker::default();
     let alive = BTreeSet::from([address(1)]);
     let before = [watched(1, "a", 1), watched(2, "a", 2)];
     run_watch(&mut watch, &before, &alive, (Timestamp(0), MINUTE * 25));
     let after = [watched(1, "a", 1), watched(2, "a", 9)];
     let later = Timestamp(0) + MINUTE * 25;
     run_watch(&mut watch, &after, &alive, (later, MINUTE * 10));
-    assert!(watch.list_gone(later + MINUTE * 10).is_empty());
+    assert!(watch.list_suspects(later + MINUTE * 10).is_empty());
 }
 
 /// Symptom: a node that others reach loses its record. Sequence: the link between it and the watching node is
@@ -117,35 +117,38 @@
 #[test]
 fn weigh_testimony_of_witnesses() {
     assert_eq!(
-        weigh_testimony(&[Some(false), Some(false)]),
-        Testimony::Gone
+        judge_reachability(&[Some(false), Some(false)]),
+        Reachability::Unreachable
     );
     assert_eq!(
-        weigh_testimony(&[Some(false), Some(true)]),
-        Testimony::Alive
+        judge_reachability(&[Some(false), Some(true)]),
+        Reachability::Reachable
     );
-    assert_eq!(weigh_testimony(&[Some(false), None]), Testimony::Open);
-    assert_eq!(weigh_testimony(&[]), Testimony::Open);
+    assert_eq!(
+        judge_reachability(&[Some(false), None]),
+        Reachability::Inconclusive
+    );
+    assert_eq!(judge_reachability(&[]), Reachability::Inconclusive);
 }
 
 #[test]
 fn list_witnesses_of_the_same_zone_first() {
-    let mut watch = RetirementWatch::default();
+    let mut watch = RetirementTracker::default();
     let records = [watched(1, "a", 1), watched(2, "b", 2), watched(3, "b", 3)];
-    watch.follow(records.into_iter(), Timestamp(0));
-    let witnesses = watch.list_witnesses(address(3), Timestamp(1));
+    watch.apply_records(records.into_iter(), Timestamp(0));
+    let witnesses = watch.list_confirming_nodes(address(3), Timestamp(1));
     assert_eq!(witnesses, [address(2), address(1)]);
 }
 
 /// Each node that is not heard of otherwise is asked every five minutes, a few in each step.
 #[test]
 fn take_due_reaches_all_evenly() {
-    let records: Vec<WatchedRecord> = (0..870).map(|n| watched(n, "a", 1)).collect();
+    let records: Vec<TrackedRecord> = (0..870).map(|n| watched(n, "a", 1)).collect();
     let alive: BTreeSet<SocketAddr> = (0..870).map(address).collect();
-    let mut watch = RetirementWatch::default();
+    let mut watch = RetirementTracker::default();
     let most = run_watch(&mut watch, &records, &alive, (Timestamp(0), MINUTE * 60));
     assert_eq!(most, 29);
-    assert!(watch.list_gone(Timestamp(0) + MINUTE * 60).is_empty());
+    assert!(watch.list_suspects(Timestamp(0) + MINUTE * 60).is_empty());
 }
 
 /// Nodes that answer are never listed, whatever else happens.
@@ -154,7 +157,7 @@
     check!()
         .with_type::<Vec<(u8, bool, u8)>>()
         .for_each(|drawn| {
-            let records: Vec<WatchedRecord> = drawn
+            let records: Vec<TrackedRecord> = drawn
                 .iter()
                 .enumerate()
                 .map(|(n, (zone, _, revision))| {
@@ -168,9 +171,9 @@
                 .zip(&records)
                 .filter(|((_, answers, _), _)| *answers);
             let alive: BTreeSet<SocketAddr> = answering.map(|(_, record)| record.address).collect();
-            let mut watch = RetirementWatch::default();
+            let mut watch = RetirementTracker::default();
             run_watch(&mut watch, &records, &alive, (Timestamp(0), MINUTE * 40));
-            let gone = watch.list_gone(Timestamp(0) + MINUTE * 40);
+            let gone = watch.list_suspects(Timestamp(0) + MINUTE * 40);
             assert!(gone.iter().all(|address| !alive.contains(address)));
         });
 }
@@ -205,9 +208,9 @@
     const NODES: u16 = 100;
     const REPLACED_A_DAY: u16 = 55;
     const DAYS: u16 = 10;
-    let mut records: Vec<WatchedRecord> = (0..NODES).map(|n| watched(n, "a", 1)).collect();
+    let mut records: Vec<TrackedRecord> = (0..NODES).map(|n| watched(n, "a", 1)).collect();
     let mut alive: BTreeSet<SocketAddr> = (0..NODES).map(address).collect();
-    let mut watch = RetirementWatch::default();
+    let mut watch = RetirementTracker::default();
     let mut now = Timestamp(0);
     let mut most = 0;
     let between = MINUTE * 60 * 24 / u32::from(REPLACED_A_DAY);
@@ -218,7 +221,7 @@
         records.push(watched(new, "a", u64::from(new)));
         run_watch(&mut watch, &records, &alive, (now, between));
         now = now + between;
-        let gone = watch.list_gone(now);
+        let gone = watch.list_suspects(now);
         records.retain(|record| !gone.contains(&record.address));
         most = most.max(records.len());
     }
