--- a/src/coordination/version_lag.rs
+++ b/src/coordination/version_lag.rs
@@ -21,7 +21,7 @@
 
 impl VersionLag {
     /// Records that another node reported `version` while `own` was in force here.
-    pub fn note_report(
+    pub fn record_report(
         &mut self,
         version: ConfigurationVersion,
         own: ConfigurationVersion,
--- a/src/proxy/table_fetching.rs
+++ b/src/proxy/table_fetching.rs
@@ -50,7 +50,9 @@
     let mut directory = core.directory.borrow_mut();
     directory.record_version(from, version);
     let (own, now) = (directory.version(), core.timers.now());
-    core.version_lag.borrow_mut().note_report(version, own, now);
+    core.version_lag
+        .borrow_mut()
+        .record_report(version, own, now);
     (own, now)
 }
 
--- a/tests/integration/version_lag.rs
+++ b/tests/integration/version_lag.rs
@@ -18,7 +18,7 @@
 #[test]
 fn is_overdue_reported_for_longer_than_limit() {
     let mut lag = VersionLag::default();
-    lag.note_report(ConfigurationVersion(6), OWN, START);
+    lag.record_report(ConfigurationVersion(6), OWN, START);
     assert!(!lag.is_overdue(OWN, after(1_000), LIMIT));
     assert!(lag.is_overdue(OWN, after(1_001), LIMIT));
 }
@@ -26,7 +26,7 @@
 #[test]
 fn is_overdue_version_in_force() {
     let mut lag = VersionLag::default();
-    lag.note_report(ConfigurationVersion(6), OWN, START);
+    lag.record_report(ConfigurationVersion(6), OWN, START);
     assert!(!lag.is_overdue(ConfigurationVersion(6), after(5_000), LIMIT));
 }
 
@@ -35,7 +35,7 @@
 fn is_overdue_newer_versions_keep_coming() {
     let mut lag = VersionLag::default();
     for number in 0..40 {
-        lag.note_report(ConfigurationVersion(6 + number), OWN, after(number * 100));
+        lag.record_report(ConfigurationVersion(6 + number), OWN, after(number * 100));
     }
     assert!(lag.is_overdue(OWN, after(4_000), LIMIT));
 }
@@ -43,8 +43,8 @@
 #[test]
 fn is_overdue_counts_from_oldest_version_not_in_force() {
     let mut lag = VersionLag::default();
-    lag.note_report(ConfigurationVersion(6), OWN, START);
-    lag.note_report(ConfigurationVersion(7), OWN, after(900));
+    lag.record_report(ConfigurationVersion(6), OWN, START);
+    lag.record_report(ConfigurationVersion(7), OWN, after(900));
     let own = ConfigurationVersion(6);
     assert!(!lag.is_overdue(own, after(1_500), LIMIT));
     assert!(lag.is_overdue(own, after(2_000), LIMIT));
@@ -53,9 +53,9 @@
 #[test]
 fn is_overdue_no_longer_reported() {
     let mut lag = VersionLag::default();
-    lag.note_report(ConfigurationVersion(6), OWN, START);
+    lag.record_report(ConfigurationVersion(6), OWN, START);
     assert!(!lag.is_overdue(OWN, after(10_000), LIMIT));
-    lag.note_report(ConfigurationVersion(6), OWN, after(20_000));
+    lag.record_report(ConfigurationVersion(6), OWN, after(20_000));
     assert!(!lag.is_overdue(OWN, after(20_500), LIMIT));
 }
 
@@ -73,7 +73,7 @@
             for (version, step, pause) in reports {
                 now = now + Duration::from_millis(u64::from(*pause));
                 let version = ConfigurationVersion(u64::from(*version));
-                lag.note_report(version, own, now);
+                lag.record_report(version, own, now);
                 newest = newest.max(version);
                 told.push((version, now));
                 assert!(!lag.is_overdue(newest, now, Duration::ZERO));
