--- a/src/coordination/local_upstream.rs
+++ b/src/coordination/local_upstream.rs
@@ -14,7 +14,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Announcement {
     /// The upstream's run.
-    pub run: IncarnationId,
+    pub incarnation: IncarnationId,
     /// Its service.
     pub service: ServiceName,
     /// Requests it runs at once.
@@ -74,11 +74,11 @@
 
     /// Applies an announcement.
     pub fn apply_announcement(&mut self, announcement: Announcement) -> AnnouncementEffect {
-        if self.has_ended(&announcement.run) {
+        if self.has_ended(&announcement.incarnation) {
             return AnnouncementEffect::Stale;
         }
         let run = UpstreamIncarnation {
-            identity: announcement.run,
+            identity: announcement.incarnation,
             service: announcement.service,
             slots: announcement.slots,
             leaving: announcement.leaving,
--- a/src/local_mesh/node.rs
+++ b/src/local_mesh/node.rs
@@ -242,7 +242,7 @@
         requests,
     ));
     let announcement = Announcement {
-        run: IncarnationId {
+        incarnation: IncarnationId {
             instance: plan.name.to_string(),
             started_ms: None,
         },
--- a/src/proxy/upstream_announcements.rs
+++ b/src/proxy/upstream_announcements.rs
@@ -34,7 +34,7 @@
     announcement: Announcement,
     record_writes: &Sender<RecordWrite>,
 ) {
-    let instance = announcement.run.instance.clone();
+    let instance = announcement.incarnation.instance.clone();
     let leaving = announcement.leaving;
     let sequence = announcement.sequence;
     if is_contradicted(core, &announcement).await {
@@ -75,11 +75,11 @@
         .borrow()
         .serving()
         .map(|known| known.identity.clone());
-    if known.is_none_or(|known| known.instance == announcement.run.instance) {
+    if known.is_none_or(|known| known.instance == announcement.incarnation.instance) {
         return false;
     }
     let reported = probe_instance(core, &announcement.service).await;
-    reported.is_some_and(|reported| reported != announcement.run.instance)
+    reported.is_some_and(|reported| reported != announcement.incarnation.instance)
 }
 
 /// Identity of the current incarnation of the local upstream; none before it is known.
@@ -143,7 +143,7 @@
             .record_departure(&record.incarnation);
     } else if unknown && !unchanged && verify_incarnation(core, &record).await {
         let announcement = Announcement {
-            run: record.incarnation.clone(),
+            incarnation: record.incarnation.clone(),
             service: record.service.clone(),
             slots: record.slots,
             leaving: false,
--- a/tests/integration/mesh_model.rs
+++ b/tests/integration/mesh_model.rs
@@ -128,7 +128,7 @@
             Naming::Again => "1".to_owned(),
         };
         Announcement {
-            run: IncarnationId {
+            incarnation: IncarnationId {
                 instance,
                 started_ms: (without != Without::Born).then_some(u64::from(run)),
             },
--- a/tests/integration/proxy_decisions.rs
+++ b/tests/integration/proxy_decisions.rs
@@ -34,7 +34,7 @@
 
 fn announcement(instance: &str, sequence: u64, leaving: bool) -> Announcement {
     Announcement {
-        run: run(instance, None),
+        incarnation: run(instance, None),
         service: "desk".into(),
         slots: 6,
         leaving,
@@ -212,7 +212,7 @@
 
 fn announcement_of(born: u64, sequence: u64, leaving: bool) -> Announcement {
     Announcement {
-        run: run("i-1", Some(born)),
+        incarnation: run("i-1", Some(born)),
         ..announcement("i-1", sequence, leaving)
     }
 }
