--- a/src/transport/operators.rs
+++ b/src/transport/operators.rs
@@ -1,7 +1,7 @@
-//! The HTTP server for operators' tools and for the upstream beside the node.
+//! The HTTP interface of a node for operators' tools and for the local upstream, and the client of that interface.
 //!
-//! It runs on threads of its own and asks the event loop by typed messages, so that a slow tool
-//! never holds up a call.
+//! The server runs on its own threads and sends typed messages to the node's event loop, so that a slow tool never
+//! delays a request of a client.
 
 pub mod answer;
 pub mod client;
--- a/src/transport/operators/client.rs
+++ b/src/transport/operators/client.rs
@@ -1,4 +1,4 @@
-//! The client of operators' tools: one question to one node.
+//! The client of the operators' interface, for operators' tools. Each call sends one request to one node.
 
 use crate::{
     coordination::publishing::{PublicationOutcome, PublicationRequest},
@@ -12,41 +12,42 @@
 use std::{io, net::SocketAddr, time::Duration};
 use thiserror::Error;
 
-/// Longest wait for a connection to a node.
+/// Longest time to open a connection to a node.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Longest wait for a whole answer; nodes give up on a publication after 15 seconds themselves.
+/// Longest time for a complete answer. It is longer than the 15 seconds after which a node gives up on a publication,
+/// so that the node's own answer arrives first.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(17);
 
-/// Why a node did not answer a question.
+/// Why a call to a node failed.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum OperatorClientError {
-    /// No connection could be opened: the question did not reach the node.
+    /// No connection could be opened: the request did not reach the node.
     #[error("not reached: {0}")]
     NotSent(String),
-    /// The connection broke, or no answer came in time; the node may have done what it was asked.
+    /// The connection broke, or no answer came in time. The node may have executed the request.
     #[error("no answer: {0}")]
     NoAnswer(String),
-    /// The node refused.
+    /// The node answered with an error status.
     #[error("refused with status {status}: {problem}")]
     Refused {
         /// HTTP status.
         status: u16,
-        /// What the node said.
+        /// Error message from the node's answer; empty if it has none.
         problem: String,
     },
-    /// The answer can't be understood.
+    /// The answer can't be decoded, or the request can't be encoded.
     #[error("its answer can't be understood: {0}")]
     InvalidAnswer(String),
 }
 
-/// Asks nodes with the operators' token.
+/// Calls nodes' operators' interfaces with the operators' token.
 #[derive(Clone)]
 pub struct OperatorClient {
     token: Secret,
 }
 
 impl OperatorClient {
-    /// A client that proves itself with the token of `access`.
+    /// Creates a client that authenticates itself with the token of `access`.
     #[must_use]
     pub fn new(access: &OperatorAccess) -> Self {
         Self {
@@ -54,18 +55,18 @@
         }
     }
 
-    /// All that a node tells of itself.
+    /// Fetches the status of a node.
     ///
     /// # Errors
-    /// If the node is not reached, refuses or answers something else.
+    /// If the node is not reached, refuses or gives an invalid answer.
     pub fn fetch_status(&self, node: SocketAddr) -> Result<NodeStatus, OperatorClientError> {
         self.send(attohttpc::get(format!("http://{node}/status")))
     }
 
-    /// Lines of a node's log from a number on.
+    /// Fetches the lines of a node's log from the line with number `from` on.
     ///
     /// # Errors
-    /// If the node is not reached, refuses or answers something else.
+    /// If the node is not reached, refuses or gives an invalid answer.
     pub fn fetch_log_lines(
         &self,
         node: SocketAddr,
@@ -74,18 +75,19 @@
         self.send(attohttpc::get(format!("http://{node}/log")).param("from", from))
     }
 
-    /// The publications that are remembered.
+    /// Fetches the latest publications from the store that the node uses.
     ///
     /// # Errors
-    /// If the node is not reached, refuses or answers something else.
+    /// If the node is not reached, refuses or gives an invalid answer.
     pub fn fetch_history(&self, node: SocketAddr) -> Result<HistoryView, OperatorClientError> {
         self.send(attohttpc::get(format!("http://{node}/history")))
     }
 
-    /// Has a node publish a configuration.
+    /// Publishes a configuration through a node.
     ///
     /// # Errors
-    /// If the node is not reached, refuses or answers something else; it may have published all the same.
+    /// If the node is not reached, refuses or gives an invalid answer. Unless the error is `NotSent`, the configuration
+    /// may have been published.
     pub fn publish(
         &self,
         node: SocketAddr,
@@ -98,18 +100,19 @@
         self.send(body)
     }
 
-    /// Tells a node to take no new work.
+    /// Asks a node to drain its local upstream: it accepts no new requests and finishes those it has.
     ///
     /// # Errors
-    /// If the node is not reached, refuses or answers something else.
+    /// If the node is not reached, refuses or gives an invalid answer.
     pub fn start_drain(&self, node: SocketAddr) -> Result<NodeHealth, OperatorClientError> {
         self.send(attohttpc::post(format!("http://{node}/drain")))
     }
 
-    /// Has a node evacuate an availability zone, or take it back.
+    /// Evacuates an availability zone through a node if `evacuated` is true, else restores it.
     ///
     /// # Errors
-    /// If the node is not reached, refuses or answers something else; the store may have the operator's word all the same.
+    /// If the node is not reached, refuses or gives an invalid answer. Unless the error is `NotSent`, the change may have
+    /// been stored.
     pub fn evacuate(
         &self,
         node: SocketAddr,
@@ -135,19 +138,19 @@
             .timeout(ANSWER_TIMEOUT)
             .follow_redirects(false)
             .send()
-            .map_err(|error| sort_error(&error))?;
+            .map_err(|error| classify_error(&error))?;
         read_answer(res)
     }
 }
 
-/// Only a failure to connect proves that the node was not asked.
-fn sort_error(error: &attohttpc::Error) -> OperatorClientError {
-    let unconnected = match error.kind() {
+/// Only a failure to connect guarantees that the request did not reach the node.
+fn classify_error(error: &attohttpc::Error) -> OperatorClientError {
+    let is_connect_failure = match error.kind() {
         ErrorKind::ConnectError { .. } | ErrorKind::ConnectNotSupported => true,
         ErrorKind::Io(cause) => cause.kind() == io::ErrorKind::ConnectionRefused,
         _ => false,
     };
-    if unconnected {
+    if is_connect_failure {
         OperatorClientError::NotSent(error.to_string())
     } else {
         OperatorClientError::NoAnswer(error.to_string())
@@ -161,9 +164,9 @@
             .json()
             .map_err(|error| OperatorClientError::InvalidAnswer(error.to_string()));
     }
-    let problem: OperatorErrorBody = res.json().unwrap_or_default();
+    let body: OperatorErrorBody = res.json().unwrap_or_default();
     Err(OperatorClientError::Refused {
         status: status.as_u16(),
-        problem: problem.error,
+        problem: body.error,
     })
 }
--- a/src/transport/operators/request.rs
+++ b/src/transport/operators/request.rs
@@ -1,4 +1,4 @@
-//! Questions from the operators' server to the event loop.
+//! Messages from the operators' server to the node's event loop.
 
 use crate::{
     coordination::publishing::{PublicationOutcome, PublicationRequest},
@@ -7,63 +7,63 @@
 };
 use flume::Sender;
 
-/// Why an availability zone is not evacuated.
+/// Why an availability zone was not evacuated or restored.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum EvacuationError {
     /// No node of the zone is known.
     UnknownZone,
-    /// The store did not take the operator's word, or did not say so.
+    /// The store did not store the change, or did not confirm it; holds the store's error.
     Store(String),
 }
 
-/// One question, with the channel for its answer.
+/// One request, with the channel for its answer.
 ///
-/// The asker may have given up meanwhile: a failing `send` on the reply channel is no error.
+/// The receiver of the answer may have given up meanwhile: a failing `send` on the reply channel is not an error.
 #[derive(Debug)]
 pub enum OperatorRequest {
-    /// All that `camphorturn status` shows.
+    /// Return the status that `camphorturn status` shows.
     Status {
-        /// Takes the answer.
+        /// Channel for the answer.
         reply: Sender<NodeStatus>,
     },
-    /// Whether the node takes requests.
+    /// Return whether the node accepts requests, and the load of its local upstream.
     Health {
-        /// Takes the answer.
+        /// Channel for the answer.
         reply: Sender<NodeHealth>,
     },
-    /// Lines of the log that the node keeps.
+    /// Return lines of the log that the node keeps in memory.
     LogLines {
-        /// Number of the first one.
+        /// Number of the first line.
         from: u64,
-        /// Takes the answer.
+        /// Channel for the answer.
         reply: Sender<LogPage>,
     },
-    /// Have the upstream take no new work and finish what there is.
+    /// Drain the local upstream: it accepts no new requests and finishes those it has.
     Drain {
-        /// Takes the answer.
+        /// Channel for the answer.
         reply: Sender<NodeHealth>,
     },
-    /// Put a configuration in force.
+    /// Publish a configuration.
     Publish {
-        /// What to publish.
+        /// The configuration, its author and the version that it is based on.
         request: Box<PublicationRequest>,
-        /// Takes the answer.
+        /// Channel for the answer.
         reply: Sender<PublicationOutcome>,
     },
-    /// Evacuate an availability zone, or take it back.
+    /// Evacuate an availability zone, or restore it.
     Evacuate {
-        /// The zone.
+        /// Name of the zone.
         zone: AvailabilityZoneName,
-        /// Whether it is to get no requests.
+        /// Whether the zone is evacuated; otherwise it is restored.
         evacuated: bool,
-        /// Takes the answer.
+        /// Channel for the answer.
         reply: Sender<Result<EvacuationView, EvacuationError>>,
     },
-    /// The publications that are remembered.
+    /// Return the latest publications.
     History {
-        /// Takes the answer, or why the store can't be read.
+        /// Channel for the answer, or for the reason why the store can't be read.
         reply: Sender<Result<HistoryView, String>>,
     },
-    /// A request without a valid token was turned away.
+    /// Log that a request without a valid token was refused; has no answer.
     Unauthorized,
 }
--- a/src/transport/operators/server.rs
+++ b/src/transport/operators/server.rs
@@ -1,4 +1,4 @@
-//! The server itself: paths, limits and the wait for the event loop.
+//! The HTTP server of the operators' interface: paths, authentication, limits and the wait for the event loop.
 
 use crate::{
     coordination::publishing::{PublicationOutcome, PublicationRequest},
@@ -19,37 +19,37 @@
 const SERVER_THREADS: usize = 4;
 /// Longest wait for the event loop.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(2);
-/// Longest wait for a publication, which may take the store several tries.
-const PUBLICATION_TIMEOUT: Duration = Duration::from_secs(15);
-/// Largest body of a request, in bytes: a configuration of a hundred services has some 100 KB.
+/// Longest wait for requests that call the store, such as a publication, which may take several attempts.
+const STORE_REPLY_TIMEOUT: Duration = Duration::from_secs(15);
+/// Largest body of a request, in bytes. A configuration of a hundred services has about 100 KB.
 const OPERATOR_BODY_LIMIT: usize = 1024 * 1024;
 
-/// The server could not be started.
+/// Why the server could not be started.
 #[derive(Debug, Error)]
 #[error("operators' server can't listen on {listen}: {cause}")]
 pub struct OperatorServerError {
     /// The address from the settings.
     pub listen: SocketAddr,
-    /// What the system said.
+    /// Error of the operating system.
     pub cause: String,
 }
 
-/// A running server; it ends when this is stopped or dropped.
+/// A running server. It ends after [`OperatorServer::request_stop`], or when the value is dropped.
 pub struct OperatorServer {
-    /// Where it listens.
+    /// Address on which the server listens, with the actual port if the settings have port 0.
     pub address: SocketAddr,
     thread: Option<JoinHandle<()>>,
     stop: mpsc::Sender<()>,
 }
 
 impl OperatorServer {
-    /// Tells the server's thread to end, which takes up to a second; dropping the server waits for it.
+    /// Asks the server's thread to end, which takes up to a second. Dropping the server waits for the thread.
     pub fn request_stop(&self) {
-        // The thread may have ended by itself; then there is nobody to tell.
+        // Fails if the thread has ended already.
         let _ = self.stop.send(());
     }
 
-    fn end(&mut self) {
+    fn stop_and_join(&mut self) {
         self.request_stop();
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
@@ -59,11 +59,11 @@
 
 impl Drop for OperatorServer {
     fn drop(&mut self) {
-        self.end();
+        self.stop_and_join();
     }
 }
 
-/// Starts the server. Questions go to `tx`, whose receiver is the event loop.
+/// Starts the server. It sends its requests to `tx`, from which the event loop receives them.
 ///
 /// # Errors
 /// If `listen` can't be bound.
@@ -127,7 +127,7 @@
         if path == "/health" || self.token.accepts(req.header("Authorization")) {
             return Ok(());
         }
-        // The event loop records this; if it is too busy to, the caller is turned away all the same.
+        // The event loop logs this. If its queue is full, the line is missing, but the request is refused all the same.
         let _ = self.tx.try_send(OperatorRequest::Unauthorized);
         Err(OperatorError::Unauthorized)
     }
@@ -138,7 +138,7 @@
         self.ask(|reply| OperatorRequest::LogLines { from, reply })
     }
 
-    /// NB: checked here as well as by the tool: every node takes what the store holds.
+    /// The node checks the configuration too, not only the tool: all nodes apply what the store holds.
     fn publish(&self, req: &Request) -> Result<PublicationOutcome, OperatorError> {
         check_method(req, "POST")?;
         let request = read_publication(req)?;
@@ -146,10 +146,10 @@
             .map_err(|findings| OperatorError::BadBody(findings.to_string()))?;
         let request = Box::new(request);
         let build = |reply| OperatorRequest::Publish { request, reply };
-        self.ask_within(PUBLICATION_TIMEOUT, build)
+        self.ask_within(STORE_REPLY_TIMEOUT, build)
     }
 
-    /// `POST` evacuates the zone that the query names, `DELETE` takes it back.
+    /// `POST` evacuates the zone that the query names, `DELETE` restores it.
     fn evacuate(&self, req: &Request) -> Result<EvacuationView, OperatorError> {
         let evacuated = match req.method() {
             "POST" => true,
@@ -167,7 +167,7 @@
             evacuated,
             reply,
         };
-        let answer = self.ask_within(PUBLICATION_TIMEOUT, build)?;
+        let answer = self.ask_within(STORE_REPLY_TIMEOUT, build)?;
         answer.map_err(|problem| match problem {
             EvacuationError::UnknownZone => bad_zone,
             EvacuationError::Store(cause) => OperatorError::StoreUnconfirmed(cause),
@@ -177,7 +177,7 @@
     fn find_history(&self, req: &Request) -> Result<HistoryView, OperatorError> {
         check_method(req, "GET")?;
         let build = |reply| OperatorRequest::History { reply };
-        let answer = self.ask_within(PUBLICATION_TIMEOUT, build)?;
+        let answer = self.ask_within(STORE_REPLY_TIMEOUT, build)?;
         answer.map_err(OperatorError::StoreUnavailable)
     }
 
--- a/src/transport/operators/token.rs
+++ b/src/transport/operators/token.rs
@@ -1,35 +1,35 @@
-//! The token that operators' tools prove themselves with.
+//! The token by which operators' tools authenticate themselves.
 
 use sha2::{Digest, Sha256};
 
-/// Start of the Authorization header's value.
-const SCHEME: &str = "Bearer ";
+/// Prefix of the Authorization header's value.
+const BEARER_PREFIX: &str = "Bearer ";
 
-/// A token to compare others with; only its digest is kept.
+/// The expected token, of which only the SHA-256 digest is kept.
 #[derive(Clone)]
 pub struct OperatorToken {
     digest: [u8; 32],
 }
 
 impl OperatorToken {
-    /// The token from the settings.
+    /// Creates the expected token from the text in the settings.
     #[must_use]
     pub fn new(token: &str) -> Self {
         Self {
-            digest: digest(token),
+            digest: hash_token(token),
         }
     }
 
     /// Whether the value of an Authorization header holds this token.
     ///
-    /// Comparing byte by byte up to the first difference would tell a patient attacker by its
-    /// duration how many leading bytes were right. Digests of equal length are compared in full.
+    /// The digests are compared in constant time. A comparison that ends at the first difference would reveal through
+    /// its duration how many leading bytes are right.
     #[must_use]
     pub fn accepts(&self, header: Option<&str>) -> bool {
-        let Some(given) = header.and_then(|value| value.strip_prefix(SCHEME)) else {
+        let Some(given) = header.and_then(|value| value.strip_prefix(BEARER_PREFIX)) else {
             return false;
         };
-        let difference = digest(given)
+        let difference = hash_token(given)
             .iter()
             .zip(&self.digest)
             .fold(0, |difference, (left, right)| difference | (left ^ right));
@@ -37,6 +37,6 @@
     }
 }
 
-fn digest(token: &str) -> [u8; 32] {
+fn hash_token(token: &str) -> [u8; 32] {
     Sha256::digest(token.as_bytes()).into()
 }
