--- a/src/proxy/entry.rs
+++ b/src/proxy/entry.rs
@@ -210,10 +210,10 @@
         deadline,
     };
     let timeout = core.timers.after(left);
-    let mut router = RequestRouter::new(core, call, line.attempts());
+    let mut request_router = RequestRouter::new(core, call, line.attempts());
     tokio::select! {
-        outcome = router.run() => outcome,
-        _ = timeout.recv_async() => router.end_at_deadline(),
+        outcome = request_router.run() => outcome,
+        _ = timeout.recv_async() => request_router.end_at_deadline(),
     }
 }
 
--- a/src/proxy/events/lines.rs
+++ b/src/proxy/events/lines.rs
@@ -156,7 +156,7 @@
         match priority {
             EventPriority::Ordinary => tracing::info!(event = number, name, fields),
             EventPriority::Late | EventPriority::Important => {
-                tracing::warn!(event = number, name, fields)
+                tracing::warn!(event = number, name, fields);
             }
         }
     }
