--- a/src/proxy/crash_detection.rs
+++ b/src/proxy/crash_detection.rs
@@ -99,7 +99,7 @@
 
 /// Records a response from the local upstream.
 pub fn note_answered_here(core: &Rc<ProxyCore>, digest: RequestFingerprint, run: &IncarnationId) {
-    core.answered_requests.borrow_mut().note(run, digest);
+    core.answered_requests.borrow_mut().insert(run, digest);
     if find_quarantine(core, digest).is_some() {
         let finding = CrashFinding::Answered(digest);
         apply_finding(core, &finding);
@@ -128,7 +128,7 @@
             incarnation: run,
         } => count_crash(core, *digest, run),
         CrashFinding::Quarantined(digest) => {
-            put_in_quarantine(core, *digest, QuarantineSource::Told);
+            put_in_quarantine(core, *digest, QuarantineSource::Reported);
         }
         CrashFinding::Answered(digest) => take_answered(core, *digest),
     }
@@ -136,7 +136,7 @@
 
 /// Applies a quarantine read from the store; true if it was not known.
 pub fn apply_stored_quarantine(core: &Rc<ProxyCore>, digest: RequestFingerprint) -> bool {
-    put_in_quarantine(core, digest, QuarantineSource::Told)
+    put_in_quarantine(core, digest, QuarantineSource::Reported)
 }
 
 /// Writes again the quarantines that the store lost when it came back from a copy, and drops those that it has again though they were
@@ -146,7 +146,7 @@
         return;
     }
     let now = core.timers.now();
-    for digest in core.quarantine.borrow().list_unlike(stored, now) {
+    for digest in core.quarantine.borrow().list_differences(stored, now) {
         write(core, digest);
     }
 }
@@ -166,7 +166,7 @@
     source: QuarantineSource,
 ) -> bool {
     let now = core.timers.now();
-    let news = core.quarantine.borrow_mut().put(digest, source, now);
+    let news = core.quarantine.borrow_mut().insert(digest, source, now);
     if news {
         core.log(&ProxyEvent::RequestQuarantined {
             digest,
--- a/src/proxy/entry/attempt.rs
+++ b/src/proxy/entry/attempt.rs
@@ -54,7 +54,7 @@
     }) = &result
     {
         let bytes = call.req.body.len() + response.body().len();
-        core.class_bytes.borrow_mut().note(&hop.class, bytes);
+        core.class_bytes.borrow_mut().observe(&hop.class, bytes);
     }
     AttemptResult { to, result }
 }
--- a/src/proxy/entry/request_router.rs
+++ b/src/proxy/entry/request_router.rs
@@ -73,7 +73,7 @@
 impl RequestRouter {
     pub fn new(core: &Rc<ProxyCore>, call: ClientCall, attempts: Rc<RequestAttempts>) -> Self {
         count_request(core, &call.service);
-        let kilobytes = core.class_bytes.borrow().usual(&call.route.class) / 1_000.0;
+        let kilobytes = core.class_bytes.borrow().average_bytes(&call.route.class) / 1_000.0;
         let candidates = find_candidates(core, &call.service, &call.route.class);
         Self {
             core: Rc::clone(core),
--- a/src/proxy/events/lines.rs
+++ b/src/proxy/events/lines.rs
@@ -97,8 +97,10 @@
     /// Takes one line out of the bounds, if they hold it.
     pub fn admit(&self, priority: EventPriority, now: Timestamp) -> bool {
         match priority {
-            EventPriority::Important | EventPriority::Late => self.telling.borrow_mut().take(now),
-            EventPriority::Ordinary => self.ordinary.borrow_mut().take(now),
+            EventPriority::Important | EventPriority::Late => {
+                self.telling.borrow_mut().try_acquire(now)
+            }
+            EventPriority::Ordinary => self.ordinary.borrow_mut().try_acquire(now),
         }
     }
 
--- a/src/proxy/executing/slots.rs
+++ b/src/proxy/executing/slots.rs
@@ -4,7 +4,7 @@
     coordination::slot_queue::{SlotAction, SlotNumber, SlotQueue},
     proxy::{core::ProxyCore, executing::slowdown::PaceKnowledge},
     state::{
-        ablation::Mechanism, failure_share::FailureShare, known_node::NodeLoad, names::ClassName,
+        ablation::Mechanism, failure_rate::FailureRate, known_node::NodeLoad, names::ClassName,
         service_times::ServiceTimes, timestamp::Timestamp,
     },
 };
@@ -32,7 +32,7 @@
     /// Not tried before: connects to the upstream failed.
     pub(super) paused_until: Cell<Timestamp>,
     times: RefCell<ServiceTimes>,
-    failures: Cell<FailureShare>,
+    failures: Cell<FailureRate>,
     waiting: RefCell<HashMap<SlotNumber, Sender<bool>>>,
     expiry_armed: Cell<Option<Timestamp>>,
 }
@@ -93,7 +93,7 @@
     /// Time that work of a class takes at the usual pace.
     #[must_use]
     pub fn expect(&self, class: &ClassName) -> Duration {
-        self.times.borrow().expect(class)
+        self.times.borrow().expected_time(class)
     }
 
     /// Learns how long work took that started at `percent` of the usual time.
--- a/src/proxy/executing/slowdown.rs
+++ b/src/proxy/executing/slowdown.rs
@@ -71,7 +71,7 @@
     /// Takes one question out of what operators let measuring cost; false if it is spent.
     pub fn take_question(&self, now: Timestamp) -> bool {
         let mut budget = self.budget.get();
-        let granted = budget.take(now);
+        let granted = budget.try_acquire(now);
         self.budget.set(budget);
         granted
     }
--- a/src/proxy/metrics.rs
+++ b/src/proxy/metrics.rs
@@ -97,8 +97,8 @@
             let latency = counts.latency;
             family.encode_histogram::<NoLabelSet>(
                 latency.sum_seconds(),
-                latency.all(),
-                &latency.list_apart(),
+                latency.count(),
+                &latency.list_separate(),
                 None,
             )?;
         }
--- a/src/proxy/operator_requests.rs
+++ b/src/proxy/operator_requests.rs
@@ -170,8 +170,8 @@
         on_target: counts.on_target,
         refused: counts.refused,
         unknown: counts.unknown,
-        p50_ms: counts.latency.quantile_bound(0.5),
-        p99_ms: counts.latency.quantile_bound(0.99),
+        p50_ms: counts.latency.quantile_upper_bound(0.5),
+        p99_ms: counts.latency.quantile_upper_bound(0.99),
     }
 }
 
--- a/src/state/answered_requests.rs
+++ b/src/state/answered_requests.rs
@@ -19,7 +19,7 @@
 
 impl AnsweredRequests {
     /// Takes in that a run has answered a request.
-    pub fn note(&mut self, run: &IncarnationId, digest: RequestFingerprint) {
+    pub fn insert(&mut self, run: &IncarnationId, digest: RequestFingerprint) {
         if self.run.as_ref() != Some(run) {
             *self = Self {
                 run: Some(run.clone()),
--- a/src/state/class_bytes.rs
+++ b/src/state/class_bytes.rs
@@ -15,12 +15,12 @@
 impl ClassBytes {
     /// Usual bytes of a request of a class with its answer.
     #[must_use]
-    pub fn usual(&self, class: &ClassName) -> f64 {
+    pub fn average_bytes(&self, class: &ClassName) -> f64 {
         self.0.get(class).copied().unwrap_or(FIRST_BYTES)
     }
 
     /// Learns the bytes of a request and its answer.
-    pub fn note(&mut self, class: &ClassName, bytes: usize) {
+    pub fn observe(&mut self, class: &ClassName, bytes: usize) {
         #[expect(clippy::cast_precision_loss, reason = "far below 2^52")]
         let bytes = bytes as f64;
         let average = self.0.entry(class.clone()).or_insert(bytes);
--- a/src/state/class_counts.rs
+++ b/src/state/class_counts.rs
@@ -1,6 +1,6 @@
 //! What became of the requests of one class at the node that took them.
 
-use crate::state::latency_buckets::LatencyBuckets;
+use crate::state::latency_histogram::LatencyHistogram;
 use std::time::Duration;
 
 /// Counts since the start.
@@ -17,7 +17,7 @@
     /// Ended without it being known whether they ran.
     pub unknown: u64,
     /// Times of the answered ones.
-    pub latency: LatencyBuckets,
+    pub latency: LatencyHistogram,
 }
 
 impl ClassCounts {
--- a/src/state/failure_share.rs
+++ b/src/state/failure_rate.rs
@@ -5,9 +5,9 @@
 
 /// A moving average, from 0 to 1.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct FailureShare(f64);
+pub struct FailureRate(f64);
 
-impl FailureShare {
+impl FailureRate {
     /// Takes in the end of a request.
     pub fn observe(&mut self, failed: bool) {
         let value = f64::from(u8::from(failed));
--- a/src/state/quarantine.rs
+++ b/src/state/quarantine.rs
@@ -21,7 +21,7 @@
     /// This node, which counted the crashes. It writes the finding to the store.
     Counted,
     /// Another node.
-    Told,
+    Reported,
 }
 
 impl QuarantineSource {
@@ -30,7 +30,7 @@
     pub const fn name(self) -> &'static str {
         match self {
             Self::Counted => "counted",
-            Self::Told => "told",
+            Self::Reported => "told",
         }
     }
 }
@@ -51,14 +51,14 @@
 
 impl Quarantine {
     /// Puts a request into quarantine; true if it was not in it.
-    pub fn put(
+    pub fn insert(
         &mut self,
         digest: RequestFingerprint,
         source: QuarantineSource,
         now: Timestamp,
     ) -> bool {
         self.forget_past(now);
-        let is_lifted = source == QuarantineSource::Told && self.lifted.contains_key(&digest);
+        let is_lifted = source == QuarantineSource::Reported && self.lifted.contains_key(&digest);
         if is_lifted || self.requests.contains_key(&digest) {
             return false;
         }
@@ -95,7 +95,7 @@
 
     /// Requests of which the store holds something else than what is known here; it holds `stored` in quarantine.
     #[must_use]
-    pub fn list_unlike(
+    pub fn list_differences(
         &self,
         stored: &BTreeSet<RequestFingerprint>,
         now: Timestamp,
--- a/src/state/rate_limit.rs
+++ b/src/state/rate_limit.rs
@@ -24,7 +24,7 @@
     }
 
     /// Takes a token if there is one.
-    pub fn take(&mut self, now: Timestamp) -> bool {
+    pub fn try_acquire(&mut self, now: Timestamp) -> bool {
         let earned = now.since(self.since).as_secs_f64() * self.per_second;
         self.tokens = (self.tokens + earned).min(self.burst);
         self.since = self.since.max(now);
--- a/src/state/service_times.rs
+++ b/src/state/service_times.rs
@@ -21,7 +21,7 @@
 impl ServiceTimes {
     /// Time that work of a class takes.
     #[must_use]
-    pub fn expect(&self, class: &ClassName) -> Duration {
+    pub fn expected_time(&self, class: &ClassName) -> Duration {
         self.classes
             .get(class)
             .map_or(FIRST, |(seconds, _)| Duration::from_secs_f64(*seconds))
--- a/tests/integration/crash_counting.rs
+++ b/tests/integration/crash_counting.rs
@@ -119,8 +119,8 @@
 #[test]
 fn quarantine_ends_by_itself() {
     let mut quarantine = Quarantine::default();
-    assert!(quarantine.put(digest(1), QuarantineSource::Told, Timestamp(0)));
-    assert!(!quarantine.put(digest(1), QuarantineSource::Told, Timestamp(1)));
+    assert!(quarantine.insert(digest(1), QuarantineSource::Reported, Timestamp(0)));
+    assert!(!quarantine.insert(digest(1), QuarantineSource::Reported, Timestamp(1)));
     let nearly = Timestamp(0) + QUARANTINE_DURATION - Duration::from_secs(1);
     assert_eq!(
         quarantine.time_left(digest(1), nearly),
@@ -140,22 +140,22 @@
     let mut quarantine = Quarantine::default();
     assert_eq!(quarantine.lift(digest(1), Timestamp(0)), None);
     let soon = Timestamp(0) + Duration::from_secs(2);
-    assert!(!quarantine.put(digest(1), QuarantineSource::Told, soon));
+    assert!(!quarantine.insert(digest(1), QuarantineSource::Reported, soon));
     assert_eq!(quarantine.time_left(digest(1), soon), None);
     // What this node has counted itself since then is no late word.
-    assert!(quarantine.put(digest(1), QuarantineSource::Counted, soon));
+    assert!(quarantine.insert(digest(1), QuarantineSource::Counted, soon));
 }
 
 #[test]
 fn lift_tells_who_had_found_out() {
     let mut quarantine = Quarantine::default();
-    quarantine.put(digest(1), QuarantineSource::Told, Timestamp(0));
-    quarantine.put(digest(2), QuarantineSource::Counted, Timestamp(0));
+    quarantine.insert(digest(1), QuarantineSource::Reported, Timestamp(0));
+    quarantine.insert(digest(2), QuarantineSource::Counted, Timestamp(0));
     assert_eq!(quarantine.len(Timestamp(1)), 2);
     let now = Timestamp(2);
     assert_eq!(
         quarantine.lift(digest(1), now),
-        Some(QuarantineSource::Told)
+        Some(QuarantineSource::Reported)
     );
     assert_eq!(
         quarantine.lift(digest(2), now),
@@ -178,13 +178,13 @@
 #[test]
 fn answered_requests_are_those_of_one_run() {
     let mut answered = AnsweredRequests::default();
-    answered.note(&run(1), digest(1));
+    answered.insert(&run(1), digest(1));
     assert!(answered.contains(&run(1), digest(1)));
     assert!(!answered.contains(&run(2), digest(1)));
-    answered.note(&run(2), digest(2));
+    answered.insert(&run(2), digest(2));
     assert!(!answered.contains(&run(1), digest(1)));
     for number in 10..2_000 {
-        answered.note(&run(2), digest(number));
+        answered.insert(&run(2), digest(number));
     }
     assert!(!answered.contains(&run(2), digest(2)));
     assert!(answered.contains(&run(2), digest(1_999)));
--- a/tests/integration/proxy_decisions.rs
+++ b/tests/integration/proxy_decisions.rs
@@ -448,7 +448,7 @@
 fn rate_limit_keeps_to_its_rate() {
     let mut limit = RateLimit::new(60.0, 60.0);
     let asked = (0..100_000_u64).map(|step| Timestamp(step * 100));
-    let granted = asked.filter(|now| limit.take(*now)).count();
+    let granted = asked.filter(|now| limit.try_acquire(*now)).count();
     // Ten seconds, and one burst.
     assert!((659..=661).contains(&granted), "{granted}");
 }
--- a/tests/integration/store_copy.rs
+++ b/tests/integration/store_copy.rs
@@ -82,9 +82,9 @@
     let (lost, kept, lifted) = (digest("/lost"), digest("/kept"), digest("/lifted"));
     let mut quarantine = Quarantine::default();
     for known in [lost, kept, lifted] {
-        assert!(quarantine.put(known, QuarantineSource::Counted, NOW));
+        assert!(quarantine.insert(known, QuarantineSource::Counted, NOW));
     }
     assert!(quarantine.lift(lifted, NOW).is_some());
     let copy = BTreeSet::from([kept, lifted]);
-    assert_eq!(quarantine.list_unlike(&copy, NOW), [lost, lifted]);
+    assert_eq!(quarantine.list_differences(&copy, NOW), [lost, lifted]);
 }
