--- a/src/coordination.rs
+++ b/src/coordination.rs
@@ -1,4 +1,4 @@
-//! Decisions: who does what. Pure functions of state, event and time that return actions.
+//! Decision logic of a node: pure functions of state, event and time that return actions.
 
 pub mod calls_per_execution;
 pub mod crash_counters;
--- a/src/coordination/vm_slowdown.rs
+++ b/src/coordination/vm_slowdown.rs
@@ -1,68 +1,68 @@
-//! How fast the VM of an upstream works, from what the upstream tells beside its answers.
+//! Estimates how much slower than usual an upstream's VM works, from the slowdown that the upstream reports with its responses.
 //!
-//! Two things slow an upstream down and look alike in one figure. Neighbours on its VM take the processor for a moment:
-//! work waits for the end of that. And it may be slow for long, after its start or because its VM is overloaded: then
-//! waiting gains nothing, and one that waits all the same serves nobody. They are told apart by how long they last.
+//! A slowdown has two possible causes that look the same in a single report. Other VMs on the same host may take the processor for a
+//! fraction of a second; a request that waits until this is over finishes sooner. Or the upstream is slow for a long time, because it
+//! has just started or its VM is overloaded; then waiting gains nothing and the upstream idles. The two are told apart by their duration.
 //!
-//! Load pattern answered: all VMs come back from a loss of power at once, each upstream works at half its pace for some
-//! seconds, and the clients of a second come back with those of the next.
+//! Load pattern: after a power loss all VMs restart at once, each upstream works at half its speed for some seconds, and clients that
+//! were refused in one second retry in the next.
 
 use crate::state::timestamp::Timestamp;
 use std::time::Duration;
 
-/// Times the usual pace up to which a VM counts as usual: a figure that says how long work takes varies by a few tens of
-/// percent with the load of the upstream itself.
-const SLOW_FROM: (u32, u32) = (3, 2);
-/// How long a slow moment is taken to last before any has been seen: a few time slices of other VMs.
-const FIRST_LENGTH: Duration = Duration::from_millis(200);
-/// Weight of the newest slow moment in the moving average of their lengths.
-const WEIGHT: f64 = 0.1;
-/// Times their mean length after which a slow moment counts as the usual pace from now on. Moments whose end does not
-/// depend on their age are longer once in 20 times.
-const LASTING: u32 = 3;
-/// Least mean length reckoned with, in seconds: the pause between two questions.
-const SHORTEST: f64 = 0.04;
-/// Time without any word after which it is not known whether a slow moment went on.
-const GAP: Duration = Duration::from_millis(300);
-
-/// How fast the VM of the upstream works.
+/// Ratio (numerator, denominator) of the current slowdown to its baseline above which the VM counts as slowed down. The reported
+/// value varies by a few tens of percent with the load of the upstream itself.
+const SLOWED_DOWN_RATIO: (u32, u32) = (3, 2);
+/// Assumed duration of a slow period before one has been observed: a few time slices of other VMs.
+const INITIAL_PERIOD: Duration = Duration::from_millis(200);
+/// Weight of the newest slow period in the moving average of their durations.
+const NEWEST_WEIGHT: f64 = 0.1;
+/// A slow period longer than this many mean durations becomes the new baseline. If the time to the end of a period doesn't depend on
+/// its age, 1 period in 20 is longer than that.
+const MAX_PERIOD_MEANS: u32 = 3;
+/// Minimum mean duration used in estimates, in seconds: the interval between two probes.
+const MIN_MEAN_SECONDS: f64 = 0.04;
+/// Maximum time between two reports of the same slow period. After a longer gap it is unknown whether the VM stayed slow.
+const MAX_REPORT_GAP: Duration = Duration::from_millis(300);
+
+/// Current slowdown of the VM that the upstream runs on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct VmSlowdown {
-    /// How long work that starts now takes, in percent of what it takes at the best.
+    /// Duration of work that starts now, in percent of its best-case duration.
     pub percent: u16,
-    /// The same at other moments of these seconds.
+    /// The same outside of slow periods, from the reports of the last seconds.
     pub baseline_percent: u16,
-    /// How much longer the present pace lasts, as a guess.
+    /// Estimated time until a slow period ends.
     pub remaining: Duration,
 }
 
 impl VmSlowdown {
-    /// The best pace.
+    /// The VM runs at full speed.
     pub const NONE: Self = Self {
         percent: 100,
         baseline_percent: 100,
         remaining: Duration::ZERO,
     };
 
-    /// Whether work should rather start later.
+    /// Whether the VM is noticeably slower than its baseline.
     #[must_use]
     pub fn is_above_baseline(self) -> bool {
-        is_slower(self.percent, self.baseline_percent)
+        exceeds_baseline(self.percent, self.baseline_percent)
     }
 
-    /// Time that work takes which starts now; `expected` is what it takes at the best.
+    /// Duration of work that starts now; `expected` is its best-case duration.
     #[must_use]
     pub fn estimate_duration(self, expected: Duration) -> Duration {
         expected * u32::from(self.percent) / 100
     }
 
-    /// Time that work takes which starts at a usual moment.
+    /// Duration of work that starts outside of slow periods; `expected` is its best-case duration.
     #[must_use]
     pub fn estimate_baseline_duration(self, expected: Duration) -> Duration {
         expected * u32::from(self.baseline_percent) / 100
     }
 
-    /// Whether work that starts now ends sooner than if it waits for the usual pace.
+    /// Whether work that starts now ends no later than if it waited for the end of the slow period.
     #[must_use]
     pub fn should_start_now(self, expected: Duration) -> bool {
         !self.is_above_baseline()
@@ -71,101 +71,104 @@
     }
 }
 
-fn is_slower(percent: u16, baseline_percent: u16) -> bool {
-    let (times, parts) = SLOW_FROM;
-    u32::from(percent) * parts > u32::from(baseline_percent) * times
+fn exceeds_baseline(percent: u16, baseline_percent: u16) -> bool {
+    let (numerator, denominator) = SLOWED_DOWN_RATIO;
+    u32::from(percent) * denominator > u32::from(baseline_percent) * numerator
 }
 
 #[derive(Clone, Copy, Debug)]
-struct SlowMoment {
+struct SlowPeriod {
     since: Timestamp,
-    told_at: Timestamp,
-    /// The best pace told meanwhile.
-    least: u16,
+    last_report: Timestamp,
+    /// Lowest slowdown reported during the period.
+    min_percent: u16,
 }
 
-/// What the figures told so far say of the pace.
+/// Baseline and slow periods learned from the reports of the upstream.
 #[derive(Clone, Copy, Debug)]
 pub struct SlowdownHistory {
-    /// None before the first figure: a start value would have an upstream that has just started wait.
+    /// None before the first report. With an initial value, an upstream that has just started would look slowed down and get no work.
     baseline_percent: Option<u16>,
-    slow: Option<SlowMoment>,
-    /// Mean length of slow moments, in seconds, and mean of its square.
-    length: f64,
-    squared: f64,
+    current_period: Option<SlowPeriod>,
+    /// Mean duration of slow periods in seconds, and mean of its square.
+    mean_seconds: f64,
+    mean_square: f64,
 }
 
 impl Default for SlowdownHistory {
     fn default() -> Self {
         Self {
             baseline_percent: None,
-            slow: None,
-            length: FIRST_LENGTH.as_secs_f64(),
-            squared: 2.0 * FIRST_LENGTH.as_secs_f64().powi(2),
+            current_period: None,
+            mean_seconds: INITIAL_PERIOD.as_secs_f64(),
+            mean_square: 2.0 * INITIAL_PERIOD.as_secs_f64().powi(2),
         }
     }
 }
 
 impl SlowdownHistory {
-    /// Forgets what was usual: another run of the upstream has come.
+    /// Discards the baseline when a new incarnation of the upstream starts.
     pub fn reset_baseline(&mut self) {
         self.baseline_percent = None;
-        self.slow = None;
+        self.current_period = None;
     }
 
-    /// Takes in a figure, in percent of the best pace.
+    /// Records a reported slowdown, in percent of the best-case duration, and returns the updated estimate.
     pub fn record(&mut self, percent: u16, now: Timestamp) -> VmSlowdown {
         let baseline_percent = self.baseline_percent.unwrap_or(percent);
-        if is_slower(percent, baseline_percent) {
-            self.note_slow(percent, baseline_percent, now);
+        if exceeds_baseline(percent, baseline_percent) {
+            self.record_slow(percent, baseline_percent, now);
         } else {
-            self.note_usual(percent, now);
+            self.record_baseline(percent, now);
         }
         VmSlowdown {
             percent,
             baseline_percent: self.baseline_percent.unwrap_or(percent),
-            remaining: self.mean_rest(),
+            remaining: self.estimate_remaining(),
         }
     }
 
-    fn note_usual(&mut self, percent: u16, now: Timestamp) {
+    fn record_baseline(&mut self, percent: u16, now: Timestamp) {
         self.baseline_percent = Some(percent);
-        let ended = self.slow.take();
-        if let Some(slow) = ended.filter(|slow| now.since(slow.told_at) <= GAP) {
-            let length = now.since(slow.since).as_secs_f64();
-            self.length += (length - self.length) * WEIGHT;
-            self.squared += (length * length - self.squared) * WEIGHT;
+        let ended = self.current_period.take();
+        if let Some(period) = ended.filter(|period| now.since(period.last_report) <= MAX_REPORT_GAP)
+        {
+            let seconds = now.since(period.since).as_secs_f64();
+            self.mean_seconds += (seconds - self.mean_seconds) * NEWEST_WEIGHT;
+            self.mean_square += (seconds * seconds - self.mean_square) * NEWEST_WEIGHT;
         }
     }
 
-    fn note_slow(&mut self, percent: u16, baseline_percent: u16, now: Timestamp) {
+    fn record_slow(&mut self, percent: u16, baseline_percent: u16, now: Timestamp) {
         self.baseline_percent = Some(baseline_percent);
-        let known = self.slow.filter(|slow| now.since(slow.told_at) <= GAP);
-        let slow = known.unwrap_or(SlowMoment {
+        let known = self
+            .current_period
+            .filter(|period| now.since(period.last_report) <= MAX_REPORT_GAP);
+        let period = known.unwrap_or(SlowPeriod {
             since: now,
-            told_at: now,
-            least: percent,
+            last_report: now,
+            min_percent: percent,
         });
-        let slow = SlowMoment {
-            told_at: now,
-            least: slow.least.min(percent),
-            ..slow
+        let period = SlowPeriod {
+            last_report: now,
+            min_percent: period.min_percent.min(percent),
+            ..period
         };
-        if now.since(slow.since) >= self.mean_length() * LASTING {
-            self.baseline_percent = Some(slow.least);
-            self.slow = None;
+        if now.since(period.since) >= self.mean_duration() * MAX_PERIOD_MEANS {
+            self.baseline_percent = Some(period.min_percent);
+            self.current_period = None;
         } else {
-            self.slow = Some(slow);
+            self.current_period = Some(period);
         }
     }
 
-    fn mean_length(&self) -> Duration {
-        Duration::from_secs_f64(self.length)
+    fn mean_duration(&self) -> Duration {
+        Duration::from_secs_f64(self.mean_seconds)
     }
 
-    /// What is left of a slow moment on average, seen at any instant of it: half of it if all last as long, more if
-    /// some last much longer than others.
-    fn mean_rest(&self) -> Duration {
-        Duration::from_secs_f64(self.squared / (2.0 * self.length.max(SHORTEST)))
+    /// Mean remaining duration of a slow period that is observed at a random time: half the duration if all periods are equally
+    /// long, more if their durations vary.
+    fn estimate_remaining(&self) -> Duration {
+        Duration::from_secs_f64(self.mean_square / (2.0 * self.mean_seconds.max(MIN_MEAN_SECONDS)))
     }
 }
