--- a/tests/integration/vm_slowdown.rs
+++ b/tests/integration/vm_slowdown.rs
@@ -1,4 +1,4 @@
-//! How fast a VM works, by what its upstream tells.
+//! Slowdown of a VM, estimated from the reports of its upstream.
 
 use camphorturn::{
     coordination::vm_slowdown::{SlowdownHistory, VmSlowdown},
@@ -10,77 +10,79 @@
     Timestamp(millis * 1_000)
 }
 
-/// Takes in one figure every 20 ms over a span; returns the last pace.
-fn tell(history: &mut SlowdownHistory, percent: u16, (from, to): (u64, u64)) -> VmSlowdown {
-    let mut pace = VmSlowdown::NONE;
+/// Records one report every 20 ms between two times, in milliseconds; returns the last estimate.
+fn report(history: &mut SlowdownHistory, percent: u16, (from, to): (u64, u64)) -> VmSlowdown {
+    let mut slowdown = VmSlowdown::NONE;
     for millis in (from..=to).step_by(20) {
-        pace = history.record(percent, at(millis));
+        slowdown = history.record(percent, at(millis));
     }
-    pace
+    slowdown
 }
 
 #[test]
-fn note_slow_moment() {
+fn record_slow_period() {
     let mut history = SlowdownHistory::default();
-    tell(&mut history, 100, (0, 100));
-    assert!(tell(&mut history, 500, (120, 260)).is_above_baseline());
-    assert!(!tell(&mut history, 100, (280, 300)).is_above_baseline());
+    report(&mut history, 100, (0, 100));
+    assert!(report(&mut history, 500, (120, 260)).is_above_baseline());
+    assert!(!report(&mut history, 100, (280, 300)).is_above_baseline());
 }
 
-/// Symptom: for seconds after all VMs lost power, upstreams run nothing though requests wait, and all of these end at
-/// their deadlines. Sequence: an upstream that has just started takes twice its usual time, for seconds; the node waits for
-/// the moment to be over. Cause: every pace beyond the best counted as a moment of 200 ms.
+/// Failure: for seconds after a power loss of all VMs, upstreams idle while requests wait until their deadlines expire. An upstream that
+/// has just started takes twice its usual time for several seconds. Its node must not count this as a slow period of 200 ms that is
+/// worth waiting out.
 #[test]
-fn note_cold_start() {
+fn record_slow_since_start() {
     let mut history = SlowdownHistory::default();
-    let pace = tell(&mut history, 200, (0, 40));
-    assert!(pace.should_start_now(Duration::from_millis(250)));
-    // A slow moment on top of it is still one.
-    let both = tell(&mut history, 1_000, (60, 100));
+    let slowdown = report(&mut history, 200, (0, 40));
+    assert!(slowdown.should_start_now(Duration::from_millis(250)));
+    // A further slowdown of the VM during that time still counts as a slow period.
+    let both = report(&mut history, 1_000, (60, 100));
     assert!(!both.should_start_now(Duration::from_millis(250)));
-    let warm = tell(&mut history, 100, (120, 140));
+    let warm = report(&mut history, 100, (120, 140));
     assert_eq!(warm.baseline_percent, 100);
 }
 
-/// Symptom: a VM that turns slow for good gets no work at all, though others can't carry what comes. Cause: its node waits for
-/// a moment that does not end.
+/// Failure: a VM that stays slow gets no work at all, though the other VMs can't take all of it. The node waits for the end of a slow
+/// period that doesn't end.
 #[test]
-fn note_lasting_slowness() {
+fn record_lasting_slowdown() {
     let mut history = SlowdownHistory::default();
-    tell(&mut history, 100, (0, 100));
-    assert!(tell(&mut history, 600, (120, 400)).is_above_baseline());
-    let lasting = tell(&mut history, 600, (420, 900));
+    report(&mut history, 100, (0, 100));
+    assert!(report(&mut history, 600, (120, 400)).is_above_baseline());
+    let lasting = report(&mut history, 600, (420, 900));
     assert!(!lasting.is_above_baseline());
     assert_eq!(lasting.baseline_percent, 600);
 }
 
-/// Symptom: after a pause without work a slow moment counts as the usual pace. Cause: the time without a figure counted
-/// as slow.
+/// Failure: after a pause without requests a slow period becomes the baseline, because the time without reports counted as slow.
 #[test]
-fn note_after_silence() {
+fn record_slow_after_silence() {
     let mut history = SlowdownHistory::default();
-    tell(&mut history, 100, (0, 100));
-    assert!(tell(&mut history, 500, (120, 120)).is_above_baseline());
-    assert!(tell(&mut history, 500, (5_000, 5_000)).is_above_baseline());
+    report(&mut history, 100, (0, 100));
+    assert!(report(&mut history, 500, (120, 120)).is_above_baseline());
+    assert!(report(&mut history, 500, (5_000, 5_000)).is_above_baseline());
 }
 
 #[test]
-fn note_learns_the_length() {
+fn record_learns_period_duration() {
     let mut history = SlowdownHistory::default();
     let mut now = 0;
     for _ in 0..60 {
-        tell(&mut history, 100, (now, now + 200));
-        tell(&mut history, 500, (now + 220, now + 280));
+        report(&mut history, 100, (now, now + 200));
+        report(&mut history, 500, (now + 220, now + 280));
         now += 300;
     }
-    let pace = history.record(500, at(now));
-    assert!(pace.remaining < Duration::from_millis(100), "{pace:?}");
+    let slowdown = history.record(500, at(now));
+    assert!(
+        slowdown.remaining < Duration::from_millis(100),
+        "{slowdown:?}"
+    );
 }
 
 #[test]
-fn note_restart_forgets_the_usual_pace() {
+fn reset_baseline_discards_baseline() {
     let mut history = SlowdownHistory::default();
-    tell(&mut history, 100, (0, 100));
+    report(&mut history, 100, (0, 100));
     history.reset_baseline();
-    assert!(!tell(&mut history, 200, (120, 120)).is_above_baseline());
+    assert!(!report(&mut history, 200, (120, 120)).is_above_baseline());
 }
