--- a/src/coordination/table_sources.rs
+++ b/src/coordination/table_sources.rs
@@ -1,70 +1,71 @@
-//! From which node a newer routing table is fetched, and whom to tell of it then.
+//! Decides from which node a newer routing table is fetched, and which offers are forwarded to further nodes.
 //!
-//! One node of a zone offers a new version along a tree (`fanout`); whoever lacks it fetches it from the node that
-//! offered it, once, and offers it on. Versions also stand on requests between nodes. These lead to nodes of any zone, many of
-//! them to the same, so they count only where no offer comes in time.
+//! A new version is offered along a distribution tree of the nodes of a zone (see [`super::fanout`]). A node that lacks the version
+//! fetches it once, from the node that offered it, and then offers it to the nodes after it. Requests between nodes also carry the
+//! version in force at the sender. Such reports lead to nodes of any zone, and many nodes would fetch from the same one, so a report is
+//! used only if no offer arrives in time.
 
 use crate::state::{configuration::ConfigurationVersion, timestamp::Timestamp};
 use std::{collections::VecDeque, net::SocketAddr, time::Duration};
 
-/// Time that a node waits for an offer after it heard of a version by a request. With links of 10 to 200 Mbit/s half of 60
-/// nodes had a change of 1,400 routes 270 ms after the first reader; who asks sooner asks a node of another zone.
-const OFFER_PATIENCE: Duration = Duration::from_millis(300);
-/// Nodes that are remembered to have told of a version, the latest.
-const SOURCES_KEPT: usize = 8;
+/// Time that a node waits for an offer after a request has reported a newer version. With links of 10 to 200 Mbit/s, half of 60 nodes
+/// have a change of 1,400 routes 270 ms after the first reader; a node that waits less fetches from another zone.
+const OFFER_WAIT: Duration = Duration::from_millis(300);
+/// Maximum number of nodes whose reports are remembered; the latest are kept.
+const MAX_REPORTS: usize = 8;
 
-/// A version that a node has told of.
+/// Offer of a version by a node that has it in force.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TableOffer {
-    /// The node.
+    /// Address at which the offering node answers other nodes.
     pub from: SocketAddr,
-    /// The version that it has in force.
+    /// Version in force at the offering node.
     pub version: ConfigurationVersion,
-    /// Nodes that are to be offered it next.
+    /// Nodes that the receiver offers the version to next.
     pub forward_to: Vec<SocketAddr>,
 }
 
-/// What to do about newer versions.
+/// Next step towards the newest reported version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FetchStep {
-    /// Ask this node for what is newer, which offers the version.
+    /// Fetch the version from the node that offered it.
     FetchOffered(SocketAddr, ConfigurationVersion),
-    /// Ask this node, which told of the version by a request; an offer that comes meanwhile goes first.
+    /// Fetch the version from a node that reported it with a request, unless an offer arrives during the fetch.
     FetchReported(SocketAddr, ConfigurationVersion),
-    /// Look again then, or when an offer comes.
+    /// Plan again at this time, or earlier when an offer arrives.
     Wait(Timestamp),
-    /// Nothing is to be fetched, or nobody is left to ask.
+    /// The newest reported version is in force, or no node is left to fetch it from.
     Done,
 }
 
-/// Who has told of versions that are not in force here.
+/// Nodes that have offered or reported versions not yet in force here.
 #[derive(Debug, Default)]
 pub struct TableSources {
     highest_reported: ConfigurationVersion,
-    /// Offers whose nodes have not been asked yet.
+    /// Offers that no fetch has been started for.
     offers: Vec<TableOffer>,
-    /// Nodes that told of a version by a request.
-    hints: VecDeque<(SocketAddr, ConfigurationVersion)>,
-    /// When the first of them told of the highest.
-    hinted: Option<Timestamp>,
-    /// Offers whose nodes have been asked.
-    asked: Vec<TableOffer>,
+    /// Versions that nodes reported with requests, oldest report first.
+    reports: VecDeque<(SocketAddr, ConfigurationVersion)>,
+    /// Time of the first report of the highest version.
+    reported_since: Option<Timestamp>,
+    /// Offers that a fetch has been started for, and that have not been forwarded.
+    fetched_offers: Vec<TableOffer>,
 }
 
 impl TableSources {
-    /// The highest version heard of.
+    /// Highest version that another node has offered or reported.
     #[must_use]
     pub const fn highest_reported(&self) -> ConfigurationVersion {
         self.highest_reported
     }
 
-    /// Takes in an offer along the tree.
+    /// Records an offer received along the distribution tree.
     pub fn record_offer(&mut self, offer: TableOffer) {
         self.highest_reported = self.highest_reported.max(offer.version);
         self.offers.push(offer);
     }
 
-    /// Takes in a version that stood on a request or its answer; true if it is above `own`.
+    /// Records the version reported with a request or its response. Returns whether it is newer than `own`, the version in force here.
     pub fn record_report(
         &mut self,
         from: SocketAddr,
@@ -77,51 +78,52 @@
         }
         if version > self.highest_reported {
             self.highest_reported = version;
-            self.hinted = Some(now);
+            self.reported_since = Some(now);
         }
-        self.hints.retain(|(known, _)| *known != from);
-        self.hints.push_back((from, version));
-        if self.hints.len() > SOURCES_KEPT {
-            self.hints.pop_front();
+        self.reports.retain(|(known, _)| *known != from);
+        self.reports.push_back((from, version));
+        if self.reports.len() > MAX_REPORTS {
+            self.reports.pop_front();
         }
-        self.hinted.get_or_insert(now);
+        self.reported_since.get_or_insert(now);
         true
     }
 
-    /// What to do next, with version `own` in force.
+    /// Returns the next step while version `own` is in force here.
     pub fn plan_next_step(&mut self, own: ConfigurationVersion, now: Timestamp) -> FetchStep {
         if self.highest_reported <= own {
-            self.hints.clear();
-            self.hinted = None;
+            self.reports.clear();
+            self.reported_since = None;
             return FetchStep::Done;
         }
         let next = self.offers.iter().position(|offer| offer.version > own);
         if let Some(next) = next {
             let offer = self.offers.remove(next);
             let (from, version) = (offer.from, offer.version);
-            self.asked.push(offer);
+            self.fetched_offers.push(offer);
             return FetchStep::FetchOffered(from, version);
         }
-        self.hints.retain(|(_, version)| *version > own);
-        let Some((from, version)) = self.hints.back().copied() else {
-            self.hinted = None;
+        self.reports.retain(|(_, version)| *version > own);
+        let Some((from, version)) = self.reports.back().copied() else {
+            self.reported_since = None;
             return FetchStep::Done;
         };
-        // Who knows nothing at all can't be offered anything: it is in no record.
-        let knows_nothing = own == ConfigurationVersion::default();
-        let due = self.hinted.map(|since| since + OFFER_PATIENCE);
-        if let Some(due) = due.filter(|due| *due > now && !knows_nothing) {
+        // Before a node has fetched its first table, no node record contains it, so no node offers it anything.
+        let has_no_table = own == ConfigurationVersion::default();
+        let due = self.reported_since.map(|since| since + OFFER_WAIT);
+        if let Some(due) = due.filter(|due| *due > now && !has_no_table) {
             return FetchStep::Wait(due);
         }
-        self.hints.pop_back();
+        self.reports.pop_back();
         FetchStep::FetchReported(from, version)
     }
 
-    /// Offers that are to go on now: those that are no news with `own` in force, and those whose nodes have been asked.
+    /// Removes and returns the offers to forward now: those not newer than `own`, the version in force here, and those that a fetch
+    /// has been started for, whether or not it succeeded: a node whose fetch fails must not keep the version from the nodes after it.
     pub fn take_forwardable_offers(&mut self, own: ConfigurationVersion) -> Vec<TableOffer> {
-        let no_news = |offer: &mut TableOffer| offer.version <= own;
-        let mut passable: Vec<TableOffer> = self.offers.extract_if(.., no_news).collect();
-        passable.append(&mut self.asked);
-        passable
+        let is_not_newer = |offer: &mut TableOffer| offer.version <= own;
+        let mut forwardable: Vec<TableOffer> = self.offers.extract_if(.., is_not_newer).collect();
+        forwardable.append(&mut self.fetched_offers);
+        forwardable
     }
 }
--- a/tests/integration/table_sources.rs
+++ b/tests/integration/table_sources.rs
@@ -1,4 +1,4 @@
-//! From which node a newer routing table is fetched, and whom to tell of it then.
+//! Choice of the node that a newer routing table is fetched from, and of the offers that are forwarded.
 
 use bolero::{TypeGenerator, check};
 use camphorturn::{
@@ -11,8 +11,8 @@
 const NEWER: ConfigurationVersion = ConfigurationVersion(6);
 const NEWEST: ConfigurationVersion = ConfigurationVersion(7);
 const START: Timestamp = Timestamp(1_000_000);
-/// Time that a hint waits for an offer.
-const PATIENCE: Duration = Duration::from_millis(300);
+/// Time that a node waits for an offer after the first report of a version.
+const OFFER_WAIT: Duration = Duration::from_millis(300);
 
 fn node(number: u8) -> SocketAddr {
     SocketAddr::from(([10, 0, 0, number], 7_000))
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn take_step_nothing_heard() {
+fn plan_next_step_without_reports() {
     let mut sources = TableSources::default();
     assert_eq!(sources.plan_next_step(OWN, START), FetchStep::Done);
     assert!(!sources.record_report(node(1), OWN, OWN, START));
@@ -40,12 +40,12 @@
 }
 
 #[test]
-fn take_step_offers_before_hints() {
+fn plan_next_step_offers_before_reports() {
     let mut sources = TableSources::default();
     assert!(sources.record_report(node(1), NEWER, OWN, START));
     sources.record_offer(offer(2, NEWER, &[]));
     sources.record_offer(offer(3, NEWER, &[]));
-    let late = START + PATIENCE;
+    let late = START + OFFER_WAIT;
     assert_eq!(
         sources.plan_next_step(OWN, late),
         FetchStep::FetchOffered(node(2), NEWER)
@@ -62,10 +62,10 @@
 }
 
 #[test]
-fn take_step_hint_waits() {
+fn plan_next_step_report_waits_for_offer() {
     let mut sources = TableSources::default();
     sources.record_report(node(1), NEWER, OWN, START);
-    let due = START + PATIENCE;
+    let due = START + OFFER_WAIT;
     assert_eq!(sources.plan_next_step(OWN, START), FetchStep::Wait(due));
     sources.record_report(node(2), NEWER, OWN, START + millis(200));
     let before = START + millis(299);
@@ -81,9 +81,9 @@
     assert_eq!(sources.plan_next_step(OWN, due), FetchStep::Done);
 }
 
-/// Symptom: a node that starts serves nothing for long. Cause: it waits for an offer, though no other node knows it.
+/// Failure: a node that starts waits for an offer before its first fetch and serves nothing meanwhile, though no other node knows of it.
 #[test]
-fn take_step_hint_to_an_empty_node() {
+fn plan_next_step_without_own_table() {
     let mut sources = TableSources::default();
     let own = ConfigurationVersion::default();
     sources.record_report(node(1), NEWER, own, START);
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn take_step_offer_during_wait() {
+fn plan_next_step_offer_during_wait() {
     let mut sources = TableSources::default();
     sources.record_report(node(1), NEWER, OWN, START);
     let now = START + millis(20);
@@ -109,13 +109,13 @@
     );
 }
 
-/// An offer that comes while a node that was heard of is asked goes before all others that were heard of.
+/// An offer that arrives during a fetch from a reporting node is used before the remaining reports.
 #[test]
-fn take_step_offer_during_question() {
+fn plan_next_step_offer_during_fetch() {
     let mut sources = TableSources::default();
     sources.record_report(node(1), NEWER, OWN, START);
     sources.record_report(node(2), NEWER, OWN, START);
-    let late = START + PATIENCE;
+    let late = START + OFFER_WAIT;
     assert_eq!(
         sources.plan_next_step(OWN, late),
         FetchStep::FetchReported(node(2), NEWER)
@@ -131,20 +131,20 @@
     );
 }
 
-/// A wait for an offer begins anew with each version.
+/// The wait for an offer restarts with each newer version.
 #[test]
-fn take_step_wait_of_the_next_version() {
+fn plan_next_step_wait_restarts_with_version() {
     let mut sources = TableSources::default();
     sources.record_report(node(1), NEWER, OWN, START);
     assert_eq!(sources.plan_next_step(NEWER, START), FetchStep::Done);
     let later = START + millis(250);
     sources.record_report(node(1), NEWEST, NEWER, later);
-    let due = later + PATIENCE;
+    let due = later + OFFER_WAIT;
     assert_eq!(sources.plan_next_step(NEWER, later), FetchStep::Wait(due));
 }
 
 #[test]
-fn take_passable_once_in_force() {
+fn take_forwardable_offers_once_in_force() {
     let mut sources = TableSources::default();
     let (first, second) = (offer(1, NEWER, &[3, 4]), offer(2, NEWER, &[5]));
     sources.record_offer(first.clone());
@@ -154,17 +154,16 @@
         sources.plan_next_step(OWN, START),
         FetchStep::FetchOffered(node(1), NEWER)
     );
-    let mut passable = sources.take_forwardable_offers(NEWER);
-    passable.sort_by_key(|offer| offer.from);
-    assert_eq!(passable, [first, second]);
+    let mut forwardable = sources.take_forwardable_offers(NEWER);
+    forwardable.sort_by_key(|offer| offer.from);
+    assert_eq!(forwardable, [first, second]);
     assert!(sources.take_forwardable_offers(NEWER).is_empty());
     assert_eq!(sources.plan_next_step(NEWER, START), FetchStep::Done);
 }
 
-/// Symptom: a version stops at a node that can't fetch it. Cause: the nodes behind it are told only when it has nobody left
-/// to ask, or never.
+/// Failure: a version stops at a node whose fetch fails, because the node forwards an offer only when no source is left, or never.
 #[test]
-fn take_passable_asked_in_vain() {
+fn take_forwardable_offers_after_failed_fetch() {
     let mut sources = TableSources::default();
     let (failed, newest) = (offer(1, NEWER, &[3]), offer(2, NEWEST, &[4]));
     sources.record_offer(failed.clone());
@@ -183,7 +182,7 @@
     ));
     assert_eq!(sources.take_forwardable_offers(OWN), [newest]);
     assert!(sources.take_forwardable_offers(OWN).is_empty());
-    let late = START + PATIENCE;
+    let late = START + OFFER_WAIT;
     assert_eq!(
         sources.plan_next_step(OWN, late),
         FetchStep::FetchReported(node(5), NEWEST)
@@ -192,46 +191,46 @@
     assert!(sources.take_forwardable_offers(OWN).is_empty());
 }
 
-/// What nodes tell, and how the asking ends.
+/// Input of the model: an offer, a report, or one step of the fetching node after `pause` milliseconds.
 #[derive(Clone, Copy, Debug, TypeGenerator)]
-enum Told {
+enum Input {
     Offer { from: u8, version: u8 },
-    Hint { from: u8, version: u8 },
+    Report { from: u8, version: u8 },
     Step { succeeds: bool, pause: u8 },
 }
 
 #[derive(Default)]
-struct Follower {
+struct FetchingNode {
     sources: TableSources,
     own: ConfigurationVersion,
     now: Timestamp,
-    /// Offers and hints by node, each good for one question.
-    told: HashMap<SocketAddr, usize>,
-    /// Nodes whose offers were asked since the last passing on.
-    asked: Vec<(SocketAddr, ConfigurationVersion)>,
+    /// Number of offers and reports by node; each allows one fetch.
+    unfetched: HashMap<SocketAddr, usize>,
+    /// Offers that a fetch has been started for since the last forwarding.
+    fetched: Vec<(SocketAddr, ConfigurationVersion)>,
     offered: usize,
-    passed_on: usize,
+    forwarded: usize,
 }
 
-impl Follower {
-    fn take(&mut self, told: Told) {
-        match told {
-            Told::Offer { from, version } => {
+impl FetchingNode {
+    fn apply(&mut self, input: Input) {
+        match input {
+            Input::Offer { from, version } => {
                 let version = ConfigurationVersion(u64::from(version % 8));
                 self.sources.record_offer(offer(from % 4, version, &[]));
-                *self.told.entry(node(from % 4)).or_default() += 1;
+                *self.unfetched.entry(node(from % 4)).or_default() += 1;
                 self.offered += 1;
             }
-            Told::Hint { from, version } => {
+            Input::Report { from, version } => {
                 let version = ConfigurationVersion(u64::from(version % 8));
                 let from = node(from % 4);
-                let news = self
+                let is_newer = self
                     .sources
                     .record_report(from, version, self.own, self.now);
-                assert_eq!(news, version > self.own);
-                *self.told.entry(from).or_default() += usize::from(news);
+                assert_eq!(is_newer, version > self.own);
+                *self.unfetched.entry(from).or_default() += usize::from(is_newer);
             }
-            Told::Step { succeeds, pause } => {
+            Input::Step { succeeds, pause } => {
                 self.now = self.now + millis(u64::from(pause));
                 self.step(succeeds);
             }
@@ -239,45 +238,49 @@
     }
 
     fn step(&mut self, succeeds: bool) -> FetchStep {
-        let passable = self.sources.take_forwardable_offers(self.own);
-        let is_asked = |offer: &TableOffer| self.asked.contains(&(offer.from, offer.version));
-        let (asked, unasked): (Vec<_>, Vec<_>) = passable.iter().partition(|offer| is_asked(offer));
-        assert!(asked.len() >= self.asked.len());
-        assert!(unasked.iter().all(|offer| offer.version <= self.own));
-        self.asked.clear();
-        self.passed_on += passable.len();
+        let forwardable = self.sources.take_forwardable_offers(self.own);
+        let is_fetched = |offer: &TableOffer| self.fetched.contains(&(offer.from, offer.version));
+        let (fetched, unfetched): (Vec<_>, Vec<_>) =
+            forwardable.iter().partition(|offer| is_fetched(offer));
+        assert!(fetched.len() >= self.fetched.len());
+        assert!(unfetched.iter().all(|offer| offer.version <= self.own));
+        self.fetched.clear();
+        self.forwarded += forwardable.len();
         let step = self.sources.plan_next_step(self.own, self.now);
         match step {
             FetchStep::FetchOffered(from, version) | FetchStep::FetchReported(from, version) => {
                 assert!(version > self.own);
-                let left = self.told.get_mut(&from).expect("it told of a version");
-                *left = left.checked_sub(1).expect("it was asked before");
+                let left = self
+                    .unfetched
+                    .get_mut(&from)
+                    .expect("the node reported a version");
+                *left = left.checked_sub(1).expect("one fetch per offer or report");
                 if succeeds {
                     self.own = version;
                 }
             }
             FetchStep::Wait(until) => {
-                assert!(until > self.now && until.since(self.now) <= PATIENCE);
+                assert!(until > self.now && until.since(self.now) <= OFFER_WAIT);
             }
             FetchStep::Done => {}
         }
         if let FetchStep::FetchOffered(from, version) = step {
-            self.asked.push((from, version));
+            self.fetched.push((from, version));
         }
         step
     }
 }
 
-/// No offer is asked more than once, and none is lost: each goes on in the end.
+/// Each offer or report leads to at most one fetch, and every offer is forwarded in the end.
 #[test]
-fn take_step_each_source_once() {
-    check!().with_type::<Vec<Told>>().for_each(|told| {
-        let mut follower = Follower::default();
-        for told in told {
-            follower.take(*told);
+fn plan_next_step_uses_each_source_once() {
+    check!().with_type::<Vec<Input>>().for_each(|inputs| {
+        let mut node = FetchingNode::default();
+        for input in inputs {
+            node.apply(*input);
         }
-        follower.now = follower.now + PATIENCE;
-        while follower.step(false) != FetchStep::Done {}
-        assert_eq!(follower.passed_on, follower.offered);
+        node.now = node.now + OFFER_WAIT;
+        while node.step(false) != FetchStep::Done {}
+        assert_eq!(node.forwarded, node.offered);
     });
 }
