--- a/src/coordination/slot_search.rs
+++ b/src/coordination/slot_search.rs
@@ -41,7 +41,7 @@
         /// The node.
         node: SocketAddr,
         /// Time within which it is to end.
-        within: Duration,
+        finish_within: Duration,
     },
     /// No node is left.
     GiveUp,
@@ -198,17 +198,20 @@
         };
         let refusal = self.refusals.swap_remove(index);
         let target_left = self.target.saturating_sub(time.elapsed).min(time.remaining);
-        let within = if refusal.finish_in <= target_left {
+        let finish_within = if refusal.finish_in <= target_left {
             target_left
         } else {
             time.remaining
         };
-        if refusal.finish_in > within {
+        if refusal.finish_in > finish_within {
             return SearchStep::GiveUp;
         }
         self.waits += 1;
         let node = refusal.node;
-        SearchStep::WaitAt { node, within }
+        SearchStep::WaitAt {
+            node,
+            finish_within,
+        }
     }
 
     /// When a refused client should come back: once what kept its request from being in time is over.
--- a/src/proxy/entry/request_router.rs
+++ b/src/proxy/entry/request_router.rs
@@ -198,7 +198,10 @@
         };
         match self.search.find_next(time) {
             SearchStep::TryNode(node) => self.start_attempt(node, Duration::ZERO),
-            SearchStep::WaitAt { node, within } => self.start_attempt(node, within),
+            SearchStep::WaitAt {
+                node,
+                finish_within,
+            } => self.start_attempt(node, finish_within),
             SearchStep::GiveUp => {
                 self.set_refusal_without_attempt();
                 return false;
--- a/tests/integration/slot_search.rs
+++ b/tests/integration/slot_search.rs
@@ -53,7 +53,7 @@
         search.find_next(time(2)),
         SearchStep::WaitAt {
             node: address(1),
-            within: Duration::from_millis(298),
+            finish_within: Duration::from_millis(298),
         }
     );
 }
@@ -91,7 +91,7 @@
         search.find_next(time(3)),
         SearchStep::WaitAt {
             node: address(2),
-            within: Duration::from_millis(297),
+            finish_within: Duration::from_millis(297),
         }
     );
 }
@@ -114,11 +114,14 @@
     let mut search = SlotSearch::begin(vec![candidate(1, true)], TARGET, 0.0);
     search.find_next(time(0));
     search.record_refusal(offer(1, true, 500));
-    let within = Duration::from_millis(1_190);
+    let finish_within = Duration::from_millis(1_190);
     let node = address(1);
     assert_eq!(
         search.find_next(time(10)),
-        SearchStep::WaitAt { node, within }
+        SearchStep::WaitAt {
+            node,
+            finish_within
+        }
     );
 }
 
@@ -155,10 +158,13 @@
                         asked.push(*known.expect("a candidate"));
                         node
                     }
-                    SearchStep::WaitAt { node, within } => {
+                    SearchStep::WaitAt {
+                        node,
+                        finish_within,
+                    } => {
                         waits += 1;
-                        assert!(told[&node] <= within, "{node} promised more");
-                        assert!(within <= time(elapsed).remaining);
+                        assert!(told[&node] <= finish_within, "{node} promised more");
+                        assert!(finish_within <= time(elapsed).remaining);
                         node
                     }
                     SearchStep::GiveUp => break,
