--- a/src/coordination/slot_search.rs
+++ b/src/coordination/slot_search.rs
@@ -1,53 +1,50 @@
-//! Where a request looks for a slot: nodes of its zone, then of other zones, then the node where it would
-//! end soonest.
+//! Search for a free slot for one request: first at nodes of the local availability zone, then at nodes of other zones, then in the
+//! queue of the node where the request would finish soonest.
 //!
-//! Load pattern answered: all upstreams of a service are full for seconds, and each request would ask nodes of other zones
-//! for a slot in vain, with its body, paid for by the byte. What such a node told a moment ago is taken for its answer.
+//! Load pattern: all upstreams of a service are full for seconds. Each request would ask nodes of other zones in vain, and each attempt
+//! carries the request body and costs by the byte. So a recent refusal of such a node is taken as its answer to this request too.
 //!
-//! Pure: each answer and each moment is told, and the next step returned.
+//! The search is pure: the caller passes in each answer and the elapsed time, and performs the step that is returned.
 
 use crate::{coordination::placement::PlacementCandidate, state::ablation::Mechanism};
 use std::{net::SocketAddr, time::Duration, vec::IntoIter};
 
-/// Nodes of the own availability zone asked for a slot at once.
+/// Maximum number of nodes of the local availability zone asked for an immediately free slot.
 pub const MAX_LOCAL_ZONE_NODES: usize = 4;
-/// Nodes of other zones asked for a slot at once; each question is paid for by its bytes.
+/// Maximum number of nodes of other zones asked for an immediately free slot. Each attempt costs bytes between zones.
 pub const MAX_REMOTE_ZONE_NODES: usize = 2;
-/// The same where the own zone has no node to ask: it is evacuated, or the service has none there.
+/// The same if the local zone has no node to ask, because it is evacuated or the service has no upstream there.
 pub const MAX_REMOTE_ZONE_NODES_WITHOUT_LOCAL: usize = 4;
-/// Times a request may be sent to wait for a slot.
+/// Maximum number of nodes in whose queues one request waits.
 pub const MAX_WAITS: u32 = 2;
-/// Share of the target after which an idempotent request is sent to a second node. 0.45 and 0.8 serve no
-/// better.
+/// Share of the latency target after which an idempotent request without a response is also sent to a second node.
 const HEDGE_SHARE: f64 = 0.6;
-/// Share of the target within which an answer from the own zone is awaited rather than asked for
-/// elsewhere, for a class without bytes; and what each KB of a class adds to it, since its way
-/// between zones is paid for. Of 0.1, 0.25, 0.4, 0.55 and 0.7 the middle one serves best where bytes between
-/// zones are cheap (0.016 of a day's worth above 0.55) and loses nothing where they are dear.
+/// If a request can finish in the local zone within this share of its latency target, it waits there and other zones aren't asked.
+/// The first value holds for a class without payload; the second is added per KB of request and response, because bytes between zones
+/// cost money.
 const LOCAL_WAIT_SHARE: (f64, f64) = (0.4, 0.08);
-/// Most of the target that an answer from the own zone may take to be awaited.
+/// Upper limit of the share of the latency target that results from [`LOCAL_WAIT_SHARE`].
 const MAX_LOCAL_WAIT_SHARE: f64 = 0.95;
-/// When to come back after a refusal, at the least and at the most.
+/// Minimum and maximum of the `Retry-After` time of a refused request.
 pub const RETRY_AFTER_RANGE: (Duration, Duration) =
     (Duration::from_millis(100), Duration::from_millis(400));
 
-/// The next step of a search.
+/// Next step of a search.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SearchStep {
-    /// Ask that node for a slot at once or none.
+    /// Send the request to this node, which refuses it unless a slot is free.
     TryNode(SocketAddr),
-    /// Let the request wait at that node, if it ends there in time.
+    /// Send the request to this node, which queues it if it can finish in time.
     WaitAt {
-        /// The node.
+        /// Address of the node.
         node: SocketAddr,
-        /// Time within which it is to end.
+        /// Time within which the request must finish; otherwise the node refuses it.
         finish_within: Duration,
     },
-    /// No node is left.
+    /// No node is left that could run the request in time.
     GiveUp,
 }
 
-/// Where in its search a request is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
     LocalZone,
@@ -55,27 +52,27 @@
     Wait,
 }
 
-/// A node that refused, and when the request would have ended there.
+/// Refusal of a request by a node that had no free slot in time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refusal {
-    /// The node.
+    /// Address of the node.
     pub node: SocketAddr,
-    /// It is in the availability zone of the entry node.
+    /// Whether the node is in the availability zone of the entry node.
     pub in_local_zone: bool,
-    /// Time in which the request would have ended.
+    /// Time in which the request would have finished there.
     pub finish_in: Duration,
 }
 
-/// How much time a request has.
+/// Time used by a request and left to it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SearchTime {
-    /// Since it came.
+    /// Time since the request arrived.
     pub elapsed: Duration,
-    /// Until its deadline.
+    /// Time until its deadline.
     pub remaining: Duration,
 }
 
-/// The search of one request.
+/// State of the search for one request.
 #[derive(Clone, Debug)]
 pub struct SlotSearch {
     local_zone: IntoIter<PlacementCandidate>,
@@ -84,13 +81,13 @@
     refusals: Vec<Refusal>,
     waits: u32,
     target: Duration,
-    /// Share of the target within which the own zone is soon enough.
+    /// Share of the target; a request that can finish in the local zone within it waits there.
     local_wait_share: f64,
 }
 
 impl SlotSearch {
-    /// A search among candidates, the ones to ask first in front. `kilobytes` is what a request of the class
-    /// takes with its answer.
+    /// Starts a search among `candidates`, in the order in which they are asked. `target` is the latency target of the request, and
+    /// `kilobytes` the usual size of a request of its class together with the response.
     #[must_use]
     pub fn begin(candidates: Vec<PlacementCandidate>, target: Duration, kilobytes: f64) -> Self {
         let (local_zone, remote_zones): (Vec<_>, Vec<_>) = candidates
@@ -103,7 +100,7 @@
             false => MAX_REMOTE_ZONE_NODES,
         };
         let remote_zones: Vec<_> = remote_zones.into_iter().take(max_remote_nodes).collect();
-        let (share, each_kb) = if Mechanism::LocalZonePreference.is_disabled() {
+        let (share, share_per_kb) = if Mechanism::LocalZonePreference.is_disabled() {
             (0.0, 0.0)
         } else {
             LOCAL_WAIT_SHARE
@@ -115,36 +112,36 @@
             refusals: Vec::new(),
             waits: 0,
             target,
-            local_wait_share: (share + each_kb * kilobytes).min(MAX_LOCAL_WAIT_SHARE),
+            local_wait_share: (share + share_per_kb * kilobytes).min(MAX_LOCAL_WAIT_SHARE),
         }
     }
 
-    /// Notes that a node had no slot in time.
+    /// Records that a node has no free slot in time.
     pub fn record_refusal(&mut self, refusal: Refusal) {
         self.refusals.push(refusal);
     }
 
-    /// Notes that a node takes no work at all. If the request waited there, the nodes of other zones that were not asked, since the
-    /// wait seemed short enough, are asked next.
+    /// Records that a node accepts no work at all. If the request was to wait there, the search goes back to the nodes of other zones,
+    /// which were skipped because the wait was short enough.
     pub fn continue_in_remote_zones(&mut self) {
         if self.phase == Phase::Wait {
             self.phase = Phase::RemoteZones;
         }
     }
 
-    /// Whether a node is known that has no slot in time.
+    /// Whether a node has refused the request for lack of a slot, now or shortly before it arrived.
     #[must_use]
     pub fn has_refusals(&self) -> bool {
         !self.refusals.is_empty()
     }
 
-    /// Whether the request was sent to wait.
+    /// Whether the request was sent to a node to wait in its queue.
     #[must_use]
     pub fn has_waited(&self) -> bool {
         self.waits > 0
     }
 
-    /// The next step.
+    /// Returns the next step.
     pub fn find_next(&mut self, time: SearchTime) -> SearchStep {
         if self.phase == Phase::LocalZone {
             if let Some(next) = self.local_zone.next() {
@@ -172,7 +169,7 @@
         self.wait_at_soonest(time)
     }
 
-    /// Whether the own zone would answer soon enough that asking another is not worth the bytes.
+    /// Whether the request can finish in the local zone so soon that asking other zones isn't worth the bytes.
     fn is_local_wait_short_enough(&self, time: SearchTime) -> bool {
         let soonest = self.refusals.iter().map(|refusal| refusal.finish_in).min();
         let soon = self.target.mul_f64(self.local_wait_share);
@@ -214,21 +211,21 @@
         }
     }
 
-    /// When a refused client should come back: once what kept its request from being in time is over.
-    /// `spread`, about 1, keeps clients from coming back together.
+    /// Time after which the client of a refused request should retry: when its request could have finished within the target. `spread`
+    /// is a random factor of about 1 that keeps clients from retrying at the same time.
     #[must_use]
     pub fn find_retry_after(&self, spread: f64) -> Duration {
-        let (least, most) = RETRY_AFTER_RANGE;
+        let (min, max) = RETRY_AFTER_RANGE;
         if Mechanism::RetryAfterEstimate.is_disabled() {
-            return least.mul_f64(spread);
+            return min.mul_f64(spread);
         }
         let soonest = self.refusals.iter().map(|refusal| refusal.finish_in).min();
-        let wait = soonest.map_or(least, |finish_in| finish_in.saturating_sub(self.target));
-        wait.clamp(least, most).mul_f64(spread)
+        let wait = soonest.map_or(min, |finish_in| finish_in.saturating_sub(self.target));
+        wait.clamp(min, max).mul_f64(spread)
     }
 }
 
-/// When an idempotent request without an answer is sent to a second node.
+/// Time after which an idempotent request without a response is also sent to a second node; `target` is its latency target.
 #[must_use]
 pub fn find_hedge_delay(target: Duration) -> Duration {
     target.mul_f64(HEDGE_SHARE)
