--- a/tests/integration/slot_search.rs
+++ b/tests/integration/slot_search.rs
@@ -1,4 +1,4 @@
-//! The search for a slot, over any answers and times.
+//! Search for a free slot, with chosen and with arbitrary answers of the nodes.
 
 use bolero::check;
 use camphorturn::coordination::{
@@ -35,7 +35,7 @@
     }
 }
 
-fn offer(last: u8, in_local_zone: bool, finish: u64) -> Refusal {
+fn refusal(last: u8, in_local_zone: bool, finish: u64) -> Refusal {
     Refusal {
         node: address(last),
         in_local_zone,
@@ -44,11 +44,11 @@
 }
 
 #[test]
-fn find_next_own_zone_is_soon_enough() {
+fn find_next_short_wait_in_local_zone() {
     let candidates = vec![candidate(1, true), candidate(2, false)];
     let mut search = SlotSearch::begin(candidates, TARGET, 0.0);
     assert_eq!(search.find_next(time(0)), SearchStep::TryNode(address(1)));
-    search.record_refusal(offer(1, true, 110));
+    search.record_refusal(refusal(1, true, 110));
     assert_eq!(
         search.find_next(time(2)),
         SearchStep::WaitAt {
@@ -58,9 +58,9 @@
     );
 }
 
-/// Failure: with the own zone evacuated, a request finds two full nodes of another zone and waits, though a third is idle.
+/// Failure: while the local zone is evacuated, a request waits at one of two full nodes of another zone, though a third one is idle.
 #[test]
-fn find_next_without_own_zone() {
+fn find_next_without_local_zone() {
     let candidates = (1..=6).map(|last| candidate(last, false)).collect();
     let mut search = SlotSearch::begin(candidates, TARGET, 0.0);
     for last in 1..=4 {
@@ -68,7 +68,7 @@
             search.find_next(time(0)),
             SearchStep::TryNode(address(last))
         );
-        search.record_refusal(offer(last, false, 110));
+        search.record_refusal(refusal(last, false, 110));
     }
     assert!(matches!(
         search.find_next(time(2)),
@@ -76,17 +76,17 @@
     ));
 }
 
-/// Symptom: under overload a fifth of the bytes between zones is questions with their bodies that are answered with no. Cause: a
-/// node that had no slot a moment ago is asked again for each request.
+/// Failure: under overload a fifth of the bytes between zones is spent on requests, with their bodies, that are refused. Each request
+/// is sent to nodes that refused the one before for lack of a slot.
 #[test]
-fn find_next_takes_what_other_zones_told() {
+fn find_next_uses_reported_refusals() {
     let full = PlacementCandidate {
         reported_finish: Some(Duration::from_millis(250)),
         ..candidate(2, false)
     };
     let mut search = SlotSearch::begin(vec![full, candidate(3, false)], TARGET, 0.0);
     assert_eq!(search.find_next(time(0)), SearchStep::TryNode(address(3)));
-    search.record_refusal(offer(3, false, 280));
+    search.record_refusal(refusal(3, false, 280));
     assert_eq!(
         search.find_next(time(3)),
         SearchStep::WaitAt {
@@ -97,23 +97,23 @@
 }
 
 #[test]
-fn find_next_other_zone_by_bytes() {
-    let asks_far = |kilobytes| {
+fn find_next_other_zone_depends_on_bytes() {
+    let asks_other_zone = |kilobytes| {
         let candidates = vec![candidate(1, true), candidate(2, false)];
         let mut search = SlotSearch::begin(candidates, TARGET, kilobytes);
         search.find_next(time(0));
-        search.record_refusal(offer(1, true, 200));
+        search.record_refusal(refusal(1, true, 200));
         search.find_next(time(2)) == SearchStep::TryNode(address(2))
     };
-    assert!(asks_far(0.0));
-    assert!(!asks_far(5.0));
+    assert!(asks_other_zone(0.0));
+    assert!(!asks_other_zone(5.0));
 }
 
 #[test]
-fn find_next_late_everywhere_waits_until_the_deadline() {
+fn find_next_beyond_target_waits_until_deadline() {
     let mut search = SlotSearch::begin(vec![candidate(1, true)], TARGET, 0.0);
     search.find_next(time(0));
-    search.record_refusal(offer(1, true, 500));
+    search.record_refusal(refusal(1, true, 500));
     let finish_within = Duration::from_millis(1_190);
     let node = address(1);
     assert_eq!(
@@ -126,15 +126,15 @@
 }
 
 #[test]
-fn find_next_beyond_the_deadline_gives_up() {
+fn find_next_beyond_deadline_gives_up() {
     let mut search = SlotSearch::begin(vec![candidate(1, true)], TARGET, 0.0);
     search.find_next(time(0));
-    search.record_refusal(offer(1, true, 1_300));
+    search.record_refusal(refusal(1, true, 1_300));
     assert_eq!(search.find_next(time(10)), SearchStep::GiveUp);
 }
 
-/// Whatever nodes answer, and whenever: few are asked, each once, the own zone first; a request waits twice
-/// at most, only where it was told that it ends in time; and it is told when to come back.
+/// For any answers at any time: a limited number of nodes is asked, each once, those of the local zone first. A request waits at most
+/// twice, only at a node that reported an early enough finish. The `Retry-After` time is within its limits.
 #[test]
 fn find_next_any_answers() {
     check!()
@@ -147,7 +147,7 @@
                 .collect();
             let mut search = SlotSearch::begin(candidates.clone(), TARGET, f64::from(*kilobytes));
             let mut asked: Vec<PlacementCandidate> = Vec::new();
-            let mut told: HashMap<SocketAddr, Duration> = HashMap::new();
+            let mut reported: HashMap<SocketAddr, Duration> = HashMap::new();
             let mut waits = 0;
             let mut elapsed = 0;
             for (finish, passed) in answers {
@@ -163,7 +163,10 @@
                         finish_within,
                     } => {
                         waits += 1;
-                        assert!(told[&node] <= finish_within, "{node} promised more");
+                        assert!(
+                            reported[&node] <= finish_within,
+                            "{node} reported a later finish"
+                        );
                         assert!(finish_within <= time(elapsed).remaining);
                         node
                     }
@@ -171,7 +174,7 @@
                 };
                 if let Some(finish) = finish {
                     let finish = Duration::from_millis(u64::from(*finish));
-                    told.insert(node, finish);
+                    reported.insert(node, finish);
                     let in_local_zone = asked
                         .iter()
                         .any(|known| known.address == node && known.in_local_zone);
@@ -182,19 +185,20 @@
                     });
                 }
             }
-            let in_local_zone = asked.iter().filter(|known| known.in_local_zone).count();
-            let first_far = asked.iter().position(|known| !known.in_local_zone);
-            let has_near = candidates.iter().any(|candidate| candidate.in_local_zone);
-            let far_asked = if has_near {
+            let local_count = asked.iter().filter(|known| known.in_local_zone).count();
+            let first_remote = asked.iter().position(|known| !known.in_local_zone);
+            let has_local = candidates.iter().any(|candidate| candidate.in_local_zone);
+            let max_remote_nodes = if has_local {
                 MAX_REMOTE_ZONE_NODES
             } else {
                 MAX_REMOTE_ZONE_NODES_WITHOUT_LOCAL
             };
             assert!(
-                in_local_zone <= MAX_LOCAL_ZONE_NODES && asked.len() - in_local_zone <= far_asked
+                local_count <= MAX_LOCAL_ZONE_NODES
+                    && asked.len() - local_count <= max_remote_nodes
             );
             assert!(
-                first_far
+                first_remote
                     .is_none_or(|first| asked[first..].iter().all(|known| !known.in_local_zone))
             );
             assert!(waits <= MAX_WAITS);
@@ -202,12 +206,12 @@
             addresses.sort_unstable();
             addresses.dedup();
             assert_eq!(addresses.len(), asked.len(), "a node was asked twice");
-            let come_back = search.find_retry_after(1.0);
-            assert!((RETRY_AFTER_RANGE.0..=RETRY_AFTER_RANGE.1).contains(&come_back));
+            let retry_after = search.find_retry_after(1.0);
+            assert!((RETRY_AFTER_RANGE.0..=RETRY_AFTER_RANGE.1).contains(&retry_after));
         });
 }
 
 #[test]
-fn find_hedge_delay_within_the_target() {
+fn find_hedge_delay_share_of_target() {
     assert_eq!(find_hedge_delay(TARGET), Duration::from_millis(180));
 }
