--- a/src/coordination/crash_counters.rs
+++ b/src/coordination/crash_counters.rs
@@ -1,8 +1,9 @@
-//! Which nodes count the crashes under a request.
+//! Choice of the nodes that count the crashes caused by a request, its crash counters.
 //!
-//! The crashes of one request happen beside different nodes, each of which sees one. Were each told to all, a release that
-//! crashes everywhere would have every node tell every other one again and again. Instead a few nodes, picked by the request
-//! (rendezvous hashing), are told of all crashes under it, and only what they find out goes to all.
+//! Retries of a request crash upstreams of different nodes, and each of these nodes sees one crash. If every crash were reported to all
+//! nodes, a release that crashes everywhere would make every node send messages to every other one again and again. Instead a few
+//! nodes, selected by the request fingerprint (rendezvous hashing), receive all crash reports for the request and propagate only their
+//! conclusions to all nodes.
 
 use crate::state::request_fingerprint::RequestFingerprint;
 use std::{
@@ -11,20 +12,20 @@
 };
 use xxhash_rust::xxh64::Xxh64;
 
-/// Nodes that count the crashes under one request. Two of them may be lost, or not know of each other, without a crash going
+/// Number of nodes that count the crashes of one request. Two of them may be lost, or not know of each other, without a crash going
 /// uncounted.
 pub const CRASH_COUNTERS: usize = 3;
 
-/// The nodes in the order in which they count the crashes under a request. Nodes that know the same others find the same order; a
-/// node more or less moves no other one.
+/// Sorts the nodes by their rank as crash counters of a request; the first [`CRASH_COUNTERS`] reachable ones count. Nodes that know the
+/// same other nodes compute the same order, and a node more or less doesn't change the order of the others.
 #[must_use]
 pub fn order_crash_counters(
-    digest: RequestFingerprint,
+    fingerprint: RequestFingerprint,
     nodes: impl Iterator<Item = SocketAddr>,
 ) -> Vec<SocketAddr> {
     let mut nodes: Vec<SocketAddr> = nodes.collect();
     nodes.sort_by_cached_key(|node| {
-        let mut hasher = Xxh64::new(digest.bits());
+        let mut hasher = Xxh64::new(fingerprint.bits());
         node.hash(&mut hasher);
         (hasher.finish(), *node)
     });
--- a/src/coordination/local_upstream.rs
+++ b/src/coordination/local_upstream.rs
@@ -1,58 +1,58 @@
-//! What a node knows of the upstream beside it, from the upstream's own announcements.
+//! State of the local upstream as learned from its own announcements.
 //!
-//! The node is the only way to its upstream, so what is decided here binds: once a leaving is taken
-//! in, no request reaches that run of the upstream any more, whatever other nodes believe.
+//! All requests reach an upstream through its local node, so the state here is authoritative: after the upstream has announced that it is
+//! leaving, no request reaches that incarnation, whatever other nodes assume.
 
 use crate::state::{incarnation_id::IncarnationId, names::ServiceName};
 use std::{collections::VecDeque, time::Duration};
 
-/// Runs that are remembered after they have ended. A late announcement of one of them must not bring
-/// it back; those older than this many replacements are no longer under way.
+/// Maximum number of remembered incarnations that have ended. A delayed announcement of one of them must not make it current again;
+/// after this many replacements no such announcement is still in transit.
 const MAX_ENDED_INCARNATIONS: usize = 16;
 
-/// One announcement of an upstream.
+/// Announcement of an upstream to its local node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Announcement {
-    /// The upstream's run.
+    /// Incarnation of the upstream that sent the announcement.
     pub incarnation: IncarnationId,
-    /// Its service.
+    /// Service that the upstream belongs to.
     pub service: ServiceName,
-    /// Requests it runs at once.
+    /// Number of requests that the upstream executes concurrently.
     pub slots: u16,
-    /// It takes no new work.
+    /// Whether the upstream is shutting down and accepts no new requests.
     pub leaving: bool,
-    /// How much longer it is cold.
+    /// Remaining warmup time; zero if the upstream is warm.
     pub warmup_left: Duration,
-    /// Rises with every announcement of one run.
+    /// Sequence number; increases with each announcement of the same incarnation.
     pub sequence: u64,
 }
 
-/// The present run of the upstream.
+/// Incarnation of the local upstream with its last announced state.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UpstreamIncarnation {
-    /// What tells it from other runs.
+    /// Identity that distinguishes it from other incarnations.
     pub identity: IncarnationId,
-    /// Its service.
+    /// Service that the upstream belongs to.
     pub service: ServiceName,
-    /// Requests it runs at once.
+    /// Number of requests that the upstream executes concurrently.
     pub slots: u16,
-    /// It takes no new work.
+    /// Whether the upstream is shutting down and accepts no new requests.
     pub leaving: bool,
     sequence: u64,
 }
 
-/// What an announcement changed.
+/// Effect of an announcement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnnouncementEffect {
-    /// Nothing that others need to know.
+    /// Nothing changed that other nodes need to know.
     Unchanged,
-    /// It is older than what is known, and was ignored.
+    /// The announcement is older than the known state and was ignored.
     Stale,
-    /// Another run, or another state.
+    /// The incarnation, its number of slots or its `leaving` flag changed.
     Changed,
 }
 
-/// What is known of the upstream beside the node.
+/// Current incarnation of the local upstream, and incarnations that have ended.
 #[derive(Clone, Debug, Default)]
 pub struct LocalUpstream {
     current: Option<UpstreamIncarnation>,
@@ -60,24 +60,26 @@
 }
 
 impl LocalUpstream {
-    /// The present run, if one has announced itself.
+    /// Returns the current incarnation, or none before the first announcement.
     #[must_use]
     pub fn current(&self) -> Option<&UpstreamIncarnation> {
         self.current.as_ref()
     }
 
-    /// The run that work may be sent to.
+    /// Returns the current incarnation if requests may be sent to it.
     #[must_use]
     pub fn serving(&self) -> Option<&UpstreamIncarnation> {
-        self.current.as_ref().filter(|run| !run.leaving)
+        self.current
+            .as_ref()
+            .filter(|incarnation| !incarnation.leaving)
     }
 
-    /// Applies an announcement.
+    /// Applies an announcement and returns its effect.
     pub fn apply_announcement(&mut self, announcement: Announcement) -> AnnouncementEffect {
         if self.has_ended(&announcement.incarnation) {
             return AnnouncementEffect::Stale;
         }
-        let run = UpstreamIncarnation {
+        let incarnation = UpstreamIncarnation {
             identity: announcement.incarnation,
             service: announcement.service,
             slots: announcement.slots,
@@ -85,87 +87,96 @@
             sequence: announcement.sequence,
         };
         match &mut self.current {
-            Some(known) if known.identity.is_same_or_newer_than(&run.identity) => {
-                update_run(known, run)
+            Some(known) if known.identity.is_same_or_newer_than(&incarnation.identity) => {
+                update_incarnation(known, incarnation)
             }
             _ => {
                 self.end_current();
-                self.current = Some(run);
+                self.current = Some(incarnation);
                 AnnouncementEffect::Changed
             }
         }
     }
 
-    /// Records that a run leaves for good. True if it was not known.
-    pub fn record_departure(&mut self, told: &IncarnationId) -> bool {
+    /// Records that an incarnation is leaving for good. Returns whether this was unknown.
+    pub fn record_departure(&mut self, reported: &IncarnationId) -> bool {
         match &mut self.current {
-            Some(known) if known.identity == *told || is_untold(&known.identity, told) => {
+            Some(known)
+                if known.identity == *reported || may_be_same(&known.identity, reported) =>
+            {
                 !std::mem::replace(&mut known.leaving, true)
             }
-            // A late word of a run before the present one.
-            Some(known) if known.identity.is_same_or_newer_than(told) => false,
+            // Delayed report about an incarnation before the current one.
+            Some(known) if known.identity.is_same_or_newer_than(reported) => false,
             _ => {
-                let known = self.has_ended(told);
+                let known = self.has_ended(reported);
                 if !known {
-                    self.remember(told.clone());
+                    self.remember_ended(reported.clone());
                 }
                 !known
             }
         }
     }
 
-    fn has_ended(&self, told: &IncarnationId) -> bool {
+    fn has_ended(&self, reported: &IncarnationId) -> bool {
         self.ended
             .iter()
-            .any(|ended| ended.is_same_or_newer_than(told))
+            .any(|ended| ended.is_same_or_newer_than(reported))
     }
 
-    /// Another run answered in place of `instance`: its announcements count no longer.
+    /// Ends the incarnation `instance` after a different one has responded in its place; its announcements are ignored from now on.
     pub fn end_incarnation(&mut self, instance: &str) {
         let is_current = self
             .current
             .as_ref()
-            .is_some_and(|run| run.identity.instance == instance);
+            .is_some_and(|incarnation| incarnation.identity.instance == instance);
         if is_current {
             self.end_current();
         }
     }
 
     fn end_current(&mut self) {
-        if let Some(run) = self.current.take() {
-            self.remember(run.identity);
+        if let Some(incarnation) = self.current.take() {
+            self.remember_ended(incarnation.identity);
         }
     }
 
-    fn remember(&mut self, run: IncarnationId) {
-        self.ended.push_back(run);
+    fn remember_ended(&mut self, incarnation: IncarnationId) {
+        self.ended.push_back(incarnation);
         if self.ended.len() > MAX_ENDED_INCARNATIONS {
             self.ended.pop_front();
         }
     }
 }
 
-/// Whether the word is of the same identity and one of the two does not tell when its run started.
-fn is_untold(known: &IncarnationId, told: &IncarnationId) -> bool {
-    known.instance == told.instance && (known.started_ms.is_none() || told.started_ms.is_none())
+/// Whether the two have the same instance identity and one of them lacks the start time, so that they can't be told apart.
+fn may_be_same(known: &IncarnationId, reported: &IncarnationId) -> bool {
+    known.instance == reported.instance
+        && (known.started_ms.is_none() || reported.started_ms.is_none())
 }
 
-/// A run that leaves never comes back to work under the same identity: a late announcement from
-/// before it left would have its node send it work again.
-fn update_run(known: &mut UpstreamIncarnation, run: UpstreamIncarnation) -> AnnouncementEffect {
-    let earlier = !run.identity.is_same_or_newer_than(&known.identity);
-    if earlier || run.sequence <= known.sequence {
+/// Applies a newer announcement of the current incarnation. An incarnation that is leaving never serves again: a delayed announcement
+/// from before must not make the node send requests to it.
+fn update_incarnation(
+    known: &mut UpstreamIncarnation,
+    incarnation: UpstreamIncarnation,
+) -> AnnouncementEffect {
+    let is_older = !incarnation.identity.is_same_or_newer_than(&known.identity);
+    if is_older || incarnation.sequence <= known.sequence {
         return AnnouncementEffect::Stale;
     }
-    let leaving = known.leaving || run.leaving;
-    let changed = leaving != known.leaving || run.slots != known.slots;
+    let leaving = known.leaving || incarnation.leaving;
+    let changed = leaving != known.leaving || incarnation.slots != known.slots;
     *known = UpstreamIncarnation {
         leaving,
         identity: IncarnationId {
-            started_ms: run.identity.started_ms.or(known.identity.started_ms),
-            instance: run.identity.instance,
+            started_ms: incarnation
+                .identity
+                .started_ms
+                .or(known.identity.started_ms),
+            instance: incarnation.identity.instance,
         },
-        ..run
+        ..incarnation
     };
     if changed {
         AnnouncementEffect::Changed
