--- a/src/coordination/offer_rounds.rs
+++ b/src/coordination/offer_rounds.rs
@@ -1,11 +1,12 @@
-//! To which nodes of its zone a node offers the version in force beside what passes along the tree. A version is that of the
-//! routing table, or the position of the last change of an evacuation.
+//! Choice of the nodes of its zone that a node offers a new version to, in addition to forwarding the offers of others. A version is that
+//! of the routing table, or the store position of the last change of an evacuation.
 //!
-//! A reader offers a new version along a tree, whatever way it came. Such an offer may not arrive: the head of a part is lost after
-//! it took the offer, a node can't be reached for a moment or is not known yet. Such a node would answer by the older
-//! version until its next slow read of the store. So each node asks the one after it in a ring of the zone until that has the
-//! version, and beyond it while it doesn't answer. That is a message or two a node and change; were the readers to ask
-//! all, it would be 3.6 KB/s for each of them at 870 nodes and 2,700 changes a day.
+//! A reader of the store offers a new version along a distribution tree, however the reader received it. An offer may be lost: a node
+//! fails after it has accepted the offer for its part of the tree, or a node is temporarily unreachable, or not known yet. A node that
+//! misses an offer would use the older version until its next infrequent read of the store. So each node also offers the version to
+//! its successor in a ring of the zone's nodes until the successor has it, and to the nodes beyond while the successor doesn't respond.
+//! This costs one or two messages per node and change. If instead the readers offered it to all nodes directly, each reader would send
+//! 3.6 KB/s at 870 nodes and 2,700 changes a day.
 
 use crate::state::{configuration::ConfigurationVersion, timestamp::Timestamp};
 use std::{
@@ -14,38 +15,39 @@
     time::Duration,
 };
 
-/// Pause before a node is asked again, doubled from the first to the second. With links of 10 to 200 Mbit/s all of
-/// 60 nodes had a change of 1,400 routes 450 ms after the first.
-const PAUSES: (Duration, Duration) = (Duration::from_millis(400), Duration::from_secs(8));
-/// Most nodes after one's own that are asked. Eight in a row are lost at once with a rack, hardly otherwise: the order is
-/// that of a hash.
-const REACH: usize = 8;
+/// Pause before a node is offered the version again: the first, and the maximum to which it doubles. With links of 10 to 200 Mbit/s, all
+/// of 60 nodes have a change of 1,400 routes 450 ms after the first one.
+const PAUSE_LIMITS: (Duration, Duration) = (Duration::from_millis(400), Duration::from_secs(8));
+/// Maximum number of successors that are offered the version. The ring is ordered by a hash, so eight consecutive nodes rarely fail together
+/// unless a whole rack fails.
+const MAX_CHECKED_NODES: usize = 8;
 
-/// Another node of the zone, in the order of the ring.
+/// Other node of the zone as an element of the ring.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RingNode {
-    /// Where it takes messages from nodes.
+    /// Address at which the node accepts messages from other nodes.
     pub address: SocketAddr,
-    /// Whether it is known to have the version in force.
+    /// Whether the node is known to have the version in force.
     pub has_version: bool,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Tried {
+struct Attempt {
     pause: Duration,
-    again: Timestamp,
+    retry_at: Timestamp,
 }
 
-/// The nodes that were offered the version in force.
+/// Nodes that have been offered the version in force.
 #[derive(Debug, Default)]
 pub struct OfferRounds<V = ConfigurationVersion> {
     version: V,
-    told: BTreeSet<SocketAddr>,
-    tried: BTreeMap<SocketAddr, Tried>,
+    offered: BTreeSet<SocketAddr>,
+    attempts: BTreeMap<SocketAddr, Attempt>,
 }
 
 impl<V: Copy + Default + PartialEq> OfferRounds<V> {
-    /// The nodes that a reader offers `version` along the tree: of those that lack it as far as is known, each once.
+    /// Returns the nodes that a reader offers `version` to along the tree: each node in `lacking`, the nodes not known to have the
+    /// version, once.
     pub fn plan_tree(
         &mut self,
         version: V,
@@ -53,11 +55,12 @@
     ) -> Vec<SocketAddr> {
         self.begin(version);
         lacking
-            .filter(|address| self.told.insert(*address))
+            .filter(|address| self.offered.insert(*address))
             .collect()
     }
 
-    /// The nodes that are asked directly now, given the others of the zone from the one after this on.
+    /// Returns the nodes that are now offered `version` directly; `ring` holds the other nodes of the zone, the successor of this node
+    /// first.
     pub fn plan_checks(
         &mut self,
         version: V,
@@ -66,17 +69,17 @@
     ) -> Vec<SocketAddr> {
         self.begin(version);
         let mut due = Vec::new();
-        for node in ring.iter().take(REACH) {
+        for node in ring.iter().take(MAX_CHECKED_NODES) {
             if node.has_version {
                 break;
             }
-            let tried = self.tried.get(&node.address).copied();
-            if tried.is_none_or(|tried| tried.again <= now) {
-                self.tried.insert(node.address, plan_next(tried, now));
+            let attempt = self.attempts.get(&node.address).copied();
+            if attempt.is_none_or(|attempt| attempt.retry_at <= now) {
+                self.attempts.insert(node.address, plan_retry(attempt, now));
                 due.push(node.address);
             }
-            // Nobody beyond a node is asked before that one was.
-            if tried.is_none() {
+            // Nodes beyond this one wait until it has been offered the version once.
+            if attempt.is_none() {
                 break;
             }
         }
@@ -93,11 +96,11 @@
     }
 }
 
-fn plan_next(tried: Option<Tried>, now: Timestamp) -> Tried {
-    let (least, most) = PAUSES;
-    let pause = tried.map_or(least, |tried| (tried.pause * 2).min(most));
-    Tried {
+fn plan_retry(attempt: Option<Attempt>, now: Timestamp) -> Attempt {
+    let (min, max) = PAUSE_LIMITS;
+    let pause = attempt.map_or(min, |attempt| (attempt.pause * 2).min(max));
+    Attempt {
         pause,
-        again: now + pause,
+        retry_at: now + pause,
     }
 }
