--- a/src/coordination/publishing.rs
+++ b/src/coordination/publishing.rs
@@ -1,4 +1,4 @@
-//! What becomes of an operator's publication, given the newest record of the store.
+//! Decides how to handle an operator's publication of a configuration, given the newest record of the store.
 
 use crate::state::{
     configuration::{Configuration, ConfigurationVersion},
@@ -7,72 +7,72 @@
 use serde::{Deserialize, Serialize};
 use uuid::Uuid;
 
-/// What an operator wants published.
+/// Request of an operator to publish a configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PublicationRequest {
-    /// Identity of the publication: one that was sent twice is taken once.
+    /// Identity of the publication. A publication that is sent again under the same identity isn't stored twice.
     pub id: Uuid,
-    /// Who publishes.
+    /// Name of the operator, for the history.
     pub author: String,
-    /// Why.
+    /// Reason for the change, for the history.
     pub note: String,
-    /// The version that the operator saw; any, if none.
+    /// Version that the change is based on; if none, the publication applies whatever version is in force.
     pub based_on: Option<ConfigurationVersion>,
-    /// The whole new content.
+    /// Complete new configuration.
     pub configuration: Configuration,
 }
 
-/// How a publication ended.
+/// Outcome of a publication.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "outcome", rename_all = "snake_case")]
 pub enum PublicationOutcome {
-    /// It became this version. A later one may be in force already.
+    /// The publication became this version. A later version may be in force already.
     Accepted {
-        /// The version.
+        /// Version of the publication.
         version: ConfigurationVersion,
-        /// The newest version.
+        /// Newest version in the store.
         in_force: ConfigurationVersion,
     },
-    /// Exactly this content is in force; nothing was stored.
+    /// The configuration in force has exactly this content; nothing was stored.
     AlreadyInForce {
-        /// The version in force.
+        /// Version in force.
         version: ConfigurationVersion,
     },
-    /// Another version was in force than the one it was based on; nothing was stored.
+    /// The version in force differs from the one that the publication is based on; nothing was stored.
     Conflict {
-        /// The version it was based on.
+        /// Version that the publication is based on.
         based_on: ConfigurationVersion,
-        /// The version in force.
+        /// Version in force.
         in_force: ConfigurationVersion,
-        /// What was accepted since, as far as it is remembered, the newest first.
+        /// Publications accepted since, newest first, as far as the store still lists them.
         meanwhile: Vec<PublicationEntry>,
     },
     /// The store could not be used; nothing was stored.
     NotStored {
-        /// Why.
+        /// Description of the error.
         reason: String,
     },
-    /// It may be stored, now or later. The same publication, sent again, tells.
+    /// The publication may have been stored, or may still be. Sending it again under the same identity returns its outcome.
     Unknown {
-        /// Why it can't be told.
+        /// Description of the error that left the outcome unknown.
         reason: String,
     },
 }
 
-/// The next step of a publication.
+/// Next step of a publication.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PublicationPlan {
-    /// Nothing is left to do.
+    /// The publication has ended with this outcome.
     Done(PublicationOutcome),
-    /// Store this record, if no other came first.
+    /// Append this record to the store, on the condition that the newest record is still the one the plan is based on.
     Store(Box<PublishedRecord>),
 }
 
-/// Decides on a publication.
+/// Plans the next step of a publication; `wall_millis` is the wall-clock time in milliseconds since the Unix epoch.
 ///
-/// It may have been sent before, by an operator whose answer was lost. It is found again by its id:
-/// storing it a second time would undo whatever others published since.
+/// An operator who got no response sends the publication again. It is recognised by its identity: storing it a second time would revert
+/// what others have published since.
 #[must_use]
 pub fn plan_publication(
     newest: Option<&PublishedRecord>,
@@ -105,7 +105,7 @@
     wall_millis: u64,
 ) -> PublishedRecord {
     let none = Configuration::default();
-    let before = newest.map_or(&none, |record| &record.configuration);
+    let previous = newest.map_or(&none, |record| &record.configuration);
     PublishedRecord {
         entry: PublicationEntry {
             id: request.id,
@@ -113,7 +113,7 @@
             author: request.author.clone(),
             note: request.note.clone(),
             published_ms: wall_millis,
-            changes: request.configuration.list_changes(before),
+            changes: request.configuration.list_changes(previous),
         },
         configuration: request.configuration.clone(),
         earlier: newest
@@ -122,7 +122,7 @@
     }
 }
 
-/// How the publication with that id ended, if the record tells of it.
+/// Returns the outcome of the publication with this identity, if the record lists it.
 #[must_use]
 pub fn find_outcome(newest: &PublishedRecord, id: Uuid) -> Option<PublicationOutcome> {
     let entry = newest.entries().find(|entry| entry.id == id)?;
