--- a/src/coordination/fanout.rs
+++ b/src/coordination/fanout.rs
@@ -1,15 +1,15 @@
-//! How a message reaches all nodes of a zone: each passes it on to a few.
+//! Distribution of a message to all nodes of a zone along a tree: each node forwards it to a few others.
 //!
-//! One VM with a narrow link and a tenth of a core can't tell a hundred nodes, each of which then fetches a routing table from it,
-//! within the time in which it must be in force. With four receivers a node, four steps reach 340.
+//! A VM with a slow link and a tenth of a core can't send a message to a hundred nodes, and then serve the routing table to each of them,
+//! within the time limit for a change to come into force. With four receivers per node, four levels reach 340 nodes.
 
 use std::net::SocketAddr;
 
-/// Nodes that one node sends a message to.
+/// Maximum number of nodes that one node sends a message to.
 const FANOUT: usize = 4;
 
-/// Parts of the receivers, one for each node that is sent the message; the first of a part that takes it
-/// passes it on to the rest.
+/// Splits the receivers into one part per node that is sent the message directly. The first reachable node of a part receives the message
+/// and forwards it to the rest of the part.
 #[must_use]
 pub fn split_receivers(receivers: &[SocketAddr]) -> Vec<Vec<SocketAddr>> {
     let size = receivers.len().div_ceil(FANOUT).max(1);
--- a/src/coordination/retiring.rs
+++ b/src/coordination/retiring.rs
@@ -1,12 +1,13 @@
-//! Which records of nodes are dropped from the store because their VMs are gone.
+//! Decides which node records are removed from the store because their VMs no longer exist.
 //!
-//! A VM that is lost says nothing, and a planned end leaves a record that says so. Were none ever dropped, each
-//! replaced VM would leave one for good: memory at all nodes, bytes at each start, and a try to reach it now
-//! and then. One node of the mesh looks after that; nobody is appointed, each works out whether it is the one.
+//! A VM that fails sends no message about it, and after a planned shutdown a record remains that marks the node as leaving. If records were
+//! never removed, each replaced VM would leave one for good: it would take memory on all nodes, bytes at each start, and an occasional
+//! connection attempt. One node of the mesh does the removal. It isn't elected: each node works out from the nodes it knows whether it is
+//! the one.
 //!
-//! A record is dropped late and carefully, since a node without one gets no work from others until it has
-//! written it anew: only after long silence, only if other nodes can't reach it either, and only if the
-//! store has nothing newer. Pure: each moment and each answer is told.
+//! A node whose record is removed gets no requests from other nodes until it has written the record again. So a record is removed only after
+//! a long silence of its node, only if other nodes can't reach the node either, and only if the store has no newer record of it. The code is
+//! pure: the caller passes in the time and the answers of other nodes.
 
 use crate::state::{names::AvailabilityZoneName, timestamp::Timestamp};
 use std::{
@@ -15,48 +16,48 @@
     time::Duration,
 };
 
-/// Silence after which a node counts as gone. Above the minutes for which regions lose each other, and the
-/// time that a VM takes to be started anew.
-const SILENT_FOR: Duration = Duration::from_mins(30);
-/// The same if nothing is heard of its whole availability zone: that is cut off rather than gone.
-const ZONE_SILENT_FOR: Duration = Duration::from_hours(24);
-/// Time between two questions to a node of which nothing else is heard. At 870 nodes these are three small
-/// messages a second of one node, below 1 KB/s.
-const ASK_EVERY: Duration = Duration::from_mins(5);
-/// Other nodes that must fail to reach it too.
+/// Time without contact after which a node is suspected to be lost. Longer than the minutes for which regions may lose contact to each
+/// other, and than a restart of a VM takes.
+const MAX_SILENCE: Duration = Duration::from_mins(30);
+/// The same if no node of its availability zone is in contact: the zone is more likely disconnected than lost.
+const MAX_ZONE_SILENCE: Duration = Duration::from_hours(24);
+/// Interval between two probes of a node that nothing else is received from. At 870 nodes the probing node sends three small messages a
+/// second, less than 1 KB/s.
+const PROBE_INTERVAL: Duration = Duration::from_mins(5);
+/// Number of other nodes that must fail to reach a node before its record is removed.
 pub const REQUIRED_CONFIRMATIONS: usize = 2;
 
-/// A record as the watch sees it.
+/// Node record as needed for tracking.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TrackedRecord {
-    /// Where the node takes messages from nodes.
+    /// Address at which the node accepts messages from other nodes.
     pub address: SocketAddr,
-    /// Availability zone of its VM.
+    /// Availability zone of the VM.
     pub availability_zone: AvailabilityZoneName,
-    /// Place of the record in the order of the store.
+    /// Revision of the record in the store; a newer record has a higher one.
     pub revision: u64,
 }
 
 #[derive(Clone, Debug)]
 struct TrackedNode {
     record: TrackedRecord,
-    /// Last sign of the node, or the begin of the watch.
+    /// Time of the last contact with the node; initially the time at which tracking began.
     last_contact: Timestamp,
     last_probe: Timestamp,
 }
 
-/// What the watching node knows of the others.
+/// Last contact with and last probe of each other node.
 #[derive(Clone, Debug, Default)]
 pub struct RetirementTracker {
     nodes: BTreeMap<SocketAddr, TrackedNode>,
 }
 
 impl RetirementTracker {
-    /// Takes in the records that the store holds now. A new one, or a new record of a known node, counts as a sign of it.
+    /// Replaces the tracked records by those now in the store. A new record, or a newer record of a tracked node, counts as contact.
     pub fn apply_records(&mut self, records: impl Iterator<Item = TrackedRecord>, now: Timestamp) {
-        let mut before = std::mem::take(&mut self.nodes);
+        let mut previous = std::mem::take(&mut self.nodes);
         for record in records {
-            let known = before.remove(&record.address);
+            let known = previous.remove(&record.address);
             let tracked = known.filter(|known| known.record.revision == record.revision);
             let tracked = tracked.unwrap_or_else(|| TrackedNode {
                 record: record.clone(),
@@ -67,18 +68,18 @@
         }
     }
 
-    /// Takes in a sign of a node.
+    /// Records contact with a node at time `at`.
     pub fn record_contact(&mut self, address: SocketAddr, at: Timestamp) {
         if let Some(tracked) = self.nodes.get_mut(&address) {
             tracked.last_contact = tracked.last_contact.max(at);
         }
     }
 
-    /// Nodes to be asked now, at most `most`, those that were asked longest ago first. They count as asked.
-    pub fn take_due_probes(&mut self, most: usize, now: Timestamp) -> Vec<SocketAddr> {
+    /// Returns up to `max` nodes that are due for a probe, the ones probed longest ago first, and records them as probed now.
+    pub fn take_due_probes(&mut self, max: usize, now: Timestamp) -> Vec<SocketAddr> {
         let is_due = |tracked: &&TrackedNode| {
-            now.since(tracked.last_contact) >= ASK_EVERY
-                && now.since(tracked.last_probe) >= ASK_EVERY
+            now.since(tracked.last_contact) >= PROBE_INTERVAL
+                && now.since(tracked.last_probe) >= PROBE_INTERVAL
         };
         let mut due: Vec<(Timestamp, SocketAddr)> = self
             .nodes
@@ -87,7 +88,7 @@
             .map(|tracked| (tracked.last_probe, tracked.record.address))
             .collect();
         due.sort_unstable();
-        due.truncate(most);
+        due.truncate(max);
         for (_, address) in &due {
             if let Some(tracked) = self.nodes.get_mut(address) {
                 tracked.last_probe = now;
@@ -96,51 +97,51 @@
         due.into_iter().map(|(_, address)| address).collect()
     }
 
-    /// Questions that must be asked in each `step` to reach every node in time.
+    /// Number of probes per `interval` that suffices to probe every node once per `PROBE_INTERVAL`.
     #[must_use]
-    pub fn count_probes_per_interval(&self, step: Duration) -> usize {
-        let steps = (ASK_EVERY.as_millis() / step.as_millis().max(1)).max(1);
-        let steps = usize::try_from(steps).unwrap_or(usize::MAX);
-        self.nodes.len().div_ceil(steps)
+    pub fn count_probes_per_interval(&self, interval: Duration) -> usize {
+        let intervals = (PROBE_INTERVAL.as_millis() / interval.as_millis().max(1)).max(1);
+        let intervals = usize::try_from(intervals).unwrap_or(usize::MAX);
+        self.nodes.len().div_ceil(intervals)
     }
 
-    /// Nodes that count as gone, unless another node can reach them.
+    /// Returns the nodes without contact for so long that they are suspected to be lost. Other nodes must confirm this.
     #[must_use]
     pub fn list_suspects(&self, now: Timestamp) -> Vec<SocketAddr> {
-        let alive: BTreeSet<&AvailabilityZoneName> = self
+        let zones_in_contact: BTreeSet<&AvailabilityZoneName> = self
             .nodes
             .values()
-            .filter(|tracked| now.since(tracked.last_contact) < SILENT_FOR)
+            .filter(|tracked| now.since(tracked.last_contact) < MAX_SILENCE)
             .map(|tracked| &tracked.record.availability_zone)
             .collect();
-        let is_gone = |tracked: &&TrackedNode| {
-            let bound = if alive.contains(&tracked.record.availability_zone) {
-                SILENT_FOR
+        let is_suspect = |tracked: &&TrackedNode| {
+            let max_silence = if zones_in_contact.contains(&tracked.record.availability_zone) {
+                MAX_SILENCE
             } else {
-                ZONE_SILENT_FOR
+                MAX_ZONE_SILENCE
             };
-            now.since(tracked.last_contact) >= bound
+            now.since(tracked.last_contact) >= max_silence
         };
-        let gone = self.nodes.values().filter(is_gone);
-        gone.map(|tracked| tracked.record.address).collect()
+        let suspects = self.nodes.values().filter(is_suspect);
+        suspects.map(|tracked| tracked.record.address).collect()
     }
 
-    /// Nodes that can be asked whether they reach `suspect`, those of its zone first: a link between zones may
-    /// be all that is wrong.
+    /// Returns the nodes that can be asked whether they reach `suspect`, those of its zone first: the suspect may only be unreachable from
+    /// other zones.
     #[must_use]
     pub fn list_confirming_nodes(&self, suspect: SocketAddr, now: Timestamp) -> Vec<SocketAddr> {
-        let Some(zone) = self.nodes.get(&suspect) else {
+        let Some(tracked) = self.nodes.get(&suspect) else {
             return Vec::new();
         };
-        let zone = &zone.record.availability_zone;
+        let zone = &tracked.record.availability_zone;
         let mut witnesses: Vec<(bool, SocketAddr)> = self
             .nodes
             .values()
             .filter(|tracked| tracked.record.address != suspect)
-            .filter(|tracked| now.since(tracked.last_contact) < SILENT_FOR)
+            .filter(|tracked| now.since(tracked.last_contact) < MAX_SILENCE)
             .map(|tracked| {
-                let elsewhere = tracked.record.availability_zone != *zone;
-                (elsewhere, tracked.record.address)
+                let is_in_other_zone = tracked.record.availability_zone != *zone;
+                (is_in_other_zone, tracked.record.address)
             })
             .collect();
         witnesses.sort_unstable();
@@ -148,19 +149,19 @@
     }
 }
 
-/// What other nodes said of one that seems gone.
+/// Conclusion from the answers of other nodes about a node that is suspected to be lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reachability {
-    /// All that answered can't reach it.
+    /// Enough other nodes answered, and none of them reaches it.
     Unreachable,
-    /// One of them reaches it.
+    /// At least one other node reaches it.
     Reachable,
-    /// Too few of them answered.
+    /// Too few other nodes answered.
     Inconclusive,
 }
 
-/// Weighs the answers of witnesses: whether they reach the node; none from one that did not answer. A node that
-/// finds no witness in the whole mesh may be the one that is cut off, so silence proves nothing.
+/// Evaluates the answers of other nodes to the question whether they reach the suspect; `None` stands for a node that did not answer. A
+/// missing answer proves nothing: if no node answers, the asking node may itself be disconnected.
 #[must_use]
 pub fn judge_reachability(answers: &[Option<bool>]) -> Reachability {
     if answers.contains(&Some(true)) {
--- a/src/coordination/retry_budget.rs
+++ b/src/coordination/retry_budget.rs
@@ -1,91 +1,88 @@
-//! How many requests a node may send to a second upstream.
+//! Budget for sending requests to a second upstream. Hedged requests count as retries too.
 //!
-//! All nodes share one budget for each service, and no node knows what the others spend. Each keeps
-//! to its own part: a share of the requests that it brought to the service, and an even part of the
-//! slack. The sum then stays within the whole, whatever the others do.
+//! All nodes share one budget per service, and no node knows what the others have spent. Each node limits itself to its own part: a share
+//! of the requests to the service that start at it, and an equal part of the slack. The sum of the parts never exceeds the whole budget.
 //!
-//! The calls that a repeated request makes again count as repeats too, at the service that is called. They
-//! begin at the node beside the upstream that runs the repeated request, so that node pays for them out of
-//! its own part before it lets the request run.
+//! The calls that a retried request makes to other services count as retries at those services. They start at the node of the upstream that
+//! executes the retry, so that node spends them from its own part of the budgets before it lets the retry run.
 
 use crate::state::timestamp::Timestamp;
 use std::{collections::VecDeque, time::Duration};
 
-/// What the operators allow.
+/// Limits on retries, set by the operators.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBudgetRules {
-    /// Repeats as a share of requests.
+    /// Allowed retries as a share of the requests within the window.
     pub ratio: f64,
-    /// Repeats beyond the share, for all nodes together.
+    /// Number of retries allowed within the window beyond that share, for all nodes together.
     pub slack: f64,
-    /// Time over which both are counted.
+    /// Sliding window over which requests and retries are counted.
     pub window: Duration,
 }
 
-/// A node's part in what the operators allow.
+/// Part of the retry budget that one node may spend.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBudgetShare {
-    /// What all nodes together may do.
+    /// Limits for all nodes together.
     pub rules: RetryBudgetRules,
-    /// Nodes that share the slack.
+    /// Number of nodes that share the slack.
     pub nodes: usize,
-    /// Since when the node has run. What its former run spent is not known: its part of the slack is
-    /// given anew only as the window moves on.
+    /// Time since the node process started. It is unknown what an earlier process of the node has spent, so the node's part of the slack
+    /// grows from zero to its full size during the first window.
     pub uptime: Duration,
 }
 
 impl RetryBudgetShare {
     fn slack(&self) -> f64 {
         let window = self.rules.window.as_secs_f64().max(f64::MIN_POSITIVE);
-        let known = (self.uptime.as_secs_f64() / window).min(1.0);
-        self.rules.slack / as_float(self.nodes.max(1)) * known
+        let known_share = (self.uptime.as_secs_f64() / window).min(1.0);
+        self.rules.slack / to_float(self.nodes.max(1)) * known_share
     }
 }
 
-/// Part of the allowance that is used. A repeat is paid for when it is decided and reaches its upstream up to a
-/// deadline later, some tenth of the window, and so do its calls; so what one window sees may have been paid for in
-/// a longer one.
-const SAFETY: f64 = 0.85;
+/// Share of the allowed retries that is used. A retry is spent when it is decided, but reaches its upstream up to a deadline (about a tenth
+/// of the window) later, and so do its calls. The retries that arrive within one window may have been spent in a longer one.
+const USED_SHARE: f64 = 0.85;
 
 #[derive(Clone, Copy, Debug)]
-struct Spent {
+struct SpentRetries {
     at: Timestamp,
     amount: f64,
 }
 
-/// One node's part of the budget of one service.
+/// Requests and retries of one node for one service within the window.
 #[derive(Clone, Debug, Default)]
 pub struct RetryBudget {
     requests: VecDeque<Timestamp>,
-    retries: VecDeque<Spent>,
+    retries: VecDeque<SpentRetries>,
 }
 
 impl RetryBudget {
-    /// Counts a request.
+    /// Counts a request, which raises the number of allowed retries.
     pub fn count_request(&mut self, now: Timestamp, rules: RetryBudgetRules) {
         self.requests.push_back(now);
-        self.forget(now, rules);
+        self.drop_expired(now, rules);
     }
 
-    /// Whether the budget holds that many repeats now. Expected calls come in fractions.
+    /// Whether `amount` retries are within the budget now. The amount is fractional if it is an estimated number of calls.
     pub fn can_spend(&mut self, now: Timestamp, share: RetryBudgetShare, amount: f64) -> bool {
-        self.forget(now, share.rules);
-        let earned = share.rules.ratio * as_float(self.requests.len());
-        let allowed = (earned + share.slack()) * SAFETY;
+        self.drop_expired(now, share.rules);
+        let earned = share.rules.ratio * to_float(self.requests.len());
+        let allowed = (earned + share.slack()) * USED_SHARE;
         let spent: f64 = self.retries.iter().map(|spent| spent.amount).sum();
         spent + amount <= allowed
     }
 
-    /// Takes that many repeats, if the budget holds them.
+    /// Spends `amount` retries if they are within the budget; returns whether they are.
     pub fn try_spend(&mut self, now: Timestamp, share: RetryBudgetShare, amount: f64) -> bool {
         let granted = self.can_spend(now, share, amount);
         if granted {
-            self.retries.push_back(Spent { at: now, amount });
+            self.retries.push_back(SpentRetries { at: now, amount });
         }
         granted
     }
 
-    /// Gives the newest whole repeats back that were taken and reached no upstream.
+    /// Returns retries to the budget that reached no upstream, starting with the newest. Fractional amounts are skipped.
     pub fn refund(&mut self, retries: u16) {
         for _ in 0..retries {
             let newest = self.retries.iter().rposition(|spent| spent.amount >= 1.0);
@@ -96,12 +93,16 @@
         }
     }
 
-    fn forget(&mut self, now: Timestamp, rules: RetryBudgetRules) {
-        let old = |at: Timestamp| now.since(at) > rules.window;
-        while self.requests.front().is_some_and(|at| old(*at)) {
+    fn drop_expired(&mut self, now: Timestamp, rules: RetryBudgetRules) {
+        let is_expired = |at: Timestamp| now.since(at) > rules.window;
+        while self.requests.front().is_some_and(|at| is_expired(*at)) {
             self.requests.pop_front();
         }
-        while self.retries.front().is_some_and(|spent| old(spent.at)) {
+        while self
+            .retries
+            .front()
+            .is_some_and(|spent| is_expired(spent.at))
+        {
             self.retries.pop_front();
         }
     }
@@ -111,6 +112,6 @@
     clippy::cast_precision_loss,
     reason = "counts of a few seconds are small"
 )]
-fn as_float(count: usize) -> f64 {
+fn to_float(count: usize) -> f64 {
     count as f64
 }
