--- a/src/proxy/evacuating.rs
+++ b/src/proxy/evacuating.rs
@@ -29,15 +29,16 @@
 };
 use tokio::task::spawn_local;
 
-/// Attempts to append an operator's order to the store, and the pause between two attempts.
-const STORE_TRIES: u32 = 5;
-const STORE_PAUSE: Duration = Duration::from_millis(200);
+/// Attempts to append an operator's change to the store.
+const STORE_ATTEMPTS: u32 = 5;
+/// Pause after a failed attempt.
+const STORE_RETRY_PAUSE: Duration = Duration::from_millis(200);
 
-/// The evacuations in force, and the positions known by other nodes.
+/// The evacuations in force, and the positions up to which other nodes have applied the store's records.
 #[derive(Default)]
 pub struct EvacuationsInForce {
     evacuations: RefCell<Evacuations>,
-    /// Last position reported by each node.
+    /// Last position reported by each node, packed.
     positions: RefCell<BTreeMap<SocketAddr, u64>>,
     rounds: RefCell<OfferRounds<u64>>,
 }
@@ -55,13 +56,13 @@
         self.evacuations.borrow().zones().clone()
     }
 
-    /// Offset up to which records of the store's topic are applied.
+    /// Packed position up to which records of the configuration topic are applied.
     #[must_use]
     pub fn position(&self) -> u64 {
         self.evacuations.borrow().position()
     }
 
-    /// The state to send to another node; none before anything is known.
+    /// The state to send to another node; none if no record has been applied yet.
     #[must_use]
     pub fn describe(&self) -> Option<Rc<Evacuations>> {
         let known = self.evacuations.borrow();
@@ -74,7 +75,7 @@
     }
 
     /// Whether a node is known to have applied the last change.
-    fn is_known_at(&self, address: SocketAddr) -> bool {
+    fn has_last_change(&self, address: SocketAddr) -> bool {
         let changed_at = self.evacuations.borrow().changed_at();
         let known = self.positions.borrow().get(&address).copied();
         known.unwrap_or_default() >= changed_at
@@ -90,33 +91,33 @@
 ) {
     let before = core.evacuations.evacuations.borrow().clone();
     let after = before.after(changes, next, read);
-    put_in_force(core, &before, after, StateSource::Store);
+    replace_evacuations(core, &before, after, StateSource::Store);
 }
 
 /// Applies the state of another node if it is newer.
-pub fn apply_peer_evacuations(core: &Rc<ProxyCore>, told: &Evacuations) {
+pub fn apply_peer_evacuations(core: &Rc<ProxyCore>, reported: &Evacuations) {
     let before = core.evacuations.evacuations.borrow().clone();
     let mut after = before.clone();
-    if after.replace_by(told) {
-        put_in_force(core, &before, after, StateSource::Peer);
+    if after.replace_by(reported) {
+        replace_evacuations(core, &before, after, StateSource::Peer);
     }
 }
 
-fn put_in_force(
+fn replace_evacuations(
     core: &Rc<ProxyCore>,
     before: &Evacuations,
     after: Evacuations,
     source: StateSource,
 ) {
     let position = after.position();
-    let begun: Vec<_> = after.zones().difference(before.zones()).cloned().collect();
+    let started: Vec<_> = after.zones().difference(before.zones()).cloned().collect();
     let ended: Vec<_> = before.zones().difference(after.zones()).cloned().collect();
     *core.evacuations.evacuations.borrow_mut() = after;
-    if begun.is_empty() && ended.is_empty() {
+    if started.is_empty() && ended.is_empty() {
         return;
     }
     let source = source.name();
-    for zone in begun {
+    for zone in started {
         core.log(&ProxyEvent::ZoneEvacuated {
             zone: zone.clone(),
             position,
@@ -134,11 +135,11 @@
         });
     }
     if core.is_zone_reader() || core.is_substitute_reader() {
-        tell_along_tree(core);
+        send_to_zone(core);
     }
 }
 
-/// Appends an operator's order to the store, from which all nodes, including this one, receive it.
+/// Appends the start or the end of an evacuation to the store, from which all nodes, including this one, receive it.
 ///
 /// # Errors
 /// If the zone to be evacuated has no known node, or the store does not confirm the record.
@@ -148,29 +149,29 @@
     zone: &AvailabilityZoneName,
     evacuated: bool,
 ) -> Result<EvacuationView, EvacuationError> {
-    if evacuated && !knows_zone(core, zone) {
+    if evacuated && !has_known_node(core, zone) {
         return Err(EvacuationError::UnknownZone);
     }
     let mut reason = String::new();
-    for _ in 0..STORE_TRIES {
+    for _ in 0..STORE_ATTEMPTS {
         // Idempotent: an unanswered append may have been stored.
         match store.append_evacuation(zone, evacuated).await {
-            Ok(()) => return Ok(describe_order(core, zone, evacuated)),
+            Ok(()) => return Ok(describe_result(core, zone, evacuated)),
             Err(error) => reason = error.to_string(),
         }
-        let _ = core.timers.after(STORE_PAUSE).recv_async().await;
+        let _ = core.timers.after(STORE_RETRY_PAUSE).recv_async().await;
     }
     Err(EvacuationError::Store(reason))
 }
 
-fn knows_zone(core: &ProxyCore, zone: &AvailabilityZoneName) -> bool {
+fn has_known_node(core: &ProxyCore, zone: &AvailabilityZoneName) -> bool {
     let directory = core.directory.borrow();
-    let mut views = directory.nodes.values();
+    let mut nodes = directory.nodes.values();
     *zone == core.settings.availability_zone
-        || views.any(|view| view.record.availability_zone == *zone)
+        || nodes.any(|node| node.record.availability_zone == *zone)
 }
 
-fn describe_order(
+fn describe_result(
     core: &ProxyCore,
     zone: &AvailabilityZoneName,
     evacuated: bool,
@@ -184,29 +185,29 @@
     EvacuationView { zones }
 }
 
-fn tell_along_tree(core: &Rc<ProxyCore>) {
+fn send_to_zone(core: &Rc<ProxyCore>) {
     let mut receivers = core.list_zone_nodes();
     // Both readers of the zone send it; different trees compensate for the loss of a forwarding node.
     receivers.shuffle(&mut rand::rng());
     send_along_tree(core, &receivers, &build_message(core));
 }
 
-/// Sends the state to the successor in the ring of the zone until it confirms the last change.
+/// Sends the evacuations to the successor in the ring of the zone until that node confirms the last change.
 pub fn check_successors(core: &Rc<ProxyCore>) {
     let in_force = &core.evacuations;
     let changed_at = in_force.evacuations.borrow().changed_at();
-    let ring: Vec<RingNode> = core.list_ring(|address| in_force.is_known_at(address));
-    let due = in_force
+    let ring: Vec<RingNode> = core.list_ring(|address| in_force.has_last_change(address));
+    let receivers = in_force
         .rounds
         .borrow_mut()
         .plan_checks(changed_at, &ring, core.timers.now());
-    for to in due {
+    for to in receivers {
         let core = Rc::clone(core);
-        spawn_local(async move { tell_directly(&core, to).await });
+        spawn_local(async move { send_directly(&core, to).await });
     }
 }
 
-async fn tell_directly(core: &ProxyCore, to: SocketAddr) {
+async fn send_directly(core: &ProxyCore, to: SocketAddr) {
     let answer = exchange_state(core, to, &build_message(core)).await;
     let position = answer.and_then(|(answer, _)| answer.evacuations_position);
     if let Some(position) = position {
--- a/src/proxy/retiring.rs
+++ b/src/proxy/retiring.rs
@@ -1,4 +1,6 @@
-//! Drops the records of nodes that are gone from the store, if this node is the one that does.
+//! Deletes from the store the records of nodes that are permanently lost.
+//!
+//! One node of the mesh does this: the first in a fixed order of the nodes that can be reached.
 
 use crate::{
     coordination::retiring::{
@@ -19,88 +21,92 @@
 use futures::future::join_all;
 use std::{net::SocketAddr, rc::Rc, time::Duration};
 
-/// How often the watch goes on. A node that does not watch only finds out that it need not.
-const STEP: Duration = Duration::from_secs(10);
+/// Interval of the checks. A node that is not responsible only checks its role.
+const CHECK_INTERVAL: Duration = Duration::from_secs(10);
 
-/// How often a node that does not watch asks the one before it. A message of some 300 bytes, 5 B/s.
-const ASK_PREDECESSOR: Duration = Duration::from_mins(1);
+/// Interval at which a node that is not responsible probes the node before it in the order. One message has some 300 bytes,
+/// so this costs 5 B/s.
+const PREDECESSOR_PROBE_INTERVAL: Duration = Duration::from_mins(1);
 
-/// Watches the records for as long as this node is the one to do so, until dropped.
+/// Deletes records of lost nodes while this node is the one responsible for it. Runs until dropped.
 pub async fn retire_lost_nodes<S: StateStore>(core: Rc<ProxyCore>, store: S) {
-    let mut watch = RetirementTracker::default();
-    let mut asked = core.timers.now();
+    let mut tracker = RetirementTracker::default();
+    let mut last_probe = core.timers.now();
     loop {
-        let _ = core.timers.after(STEP).recv_async().await;
+        let _ = core.timers.after(CHECK_INTERVAL).recv_async().await;
         if core.is_stopping() || !core.is_mesh_coordinator() {
-            watch = RetirementTracker::default();
+            tracker = RetirementTracker::default();
             let now = core.timers.now();
-            if now.since(asked) >= ASK_PREDECESSOR {
-                asked = now;
-                ask_predecessor(&core).await;
+            if now.since(last_probe) >= PREDECESSOR_PROBE_INTERVAL {
+                last_probe = now;
+                probe_predecessor(&core).await;
             }
             continue;
         }
-        follow_directory(&core, &mut watch);
-        ask_due(&core, &mut watch).await;
-        for suspect in watch.list_suspects(core.timers.now()) {
-            retire(&core, &store, &mut watch, suspect).await;
+        update_tracker(&core, &mut tracker);
+        probe_due_nodes(&core, &mut tracker).await;
+        for suspect in tracker.list_suspects(core.timers.now()) {
+            retire(&core, &store, &mut tracker, suspect).await;
         }
     }
 }
 
-/// Finds out whether the node that goes before this one is there. A lost one to which nothing is sent would count as the
-/// one that watches, and no record would be dropped any more. Each asks the one directly before it, so the first that
-/// lives finds out about all before it, one after the other.
-async fn ask_predecessor(core: &Rc<ProxyCore>) {
-    let Some(before) = core.find_predecessor() else {
+/// Checks whether the node directly before this one in the order can be reached. Without this check, a lost first node to
+/// which nothing is sent would still count as the responsible one, and no record would be deleted any more. Each node probes its
+/// predecessor, so the first node that is alive finds out about all lost nodes before it, one after the other.
+async fn probe_predecessor(core: &Rc<ProxyCore>) {
+    let Some(predecessor) = core.find_predecessor() else {
         return;
     };
-    let reached = is_reachable(core, before).await;
+    let is_alive = is_reachable(core, predecessor).await;
     let now = core.timers.now();
-    if let Some(view) = core.directory.borrow_mut().nodes.get_mut(&before) {
-        if reached {
-            view.reset_backoff();
+    if let Some(node) = core.directory.borrow_mut().nodes.get_mut(&predecessor) {
+        if is_alive {
+            node.reset_backoff();
         } else {
-            view.record_unreachable(now);
+            node.record_unreachable(now);
         }
     }
 }
 
-/// Takes in the records, and what requests tell of their nodes for nothing.
-fn follow_directory(core: &ProxyCore, watch: &mut RetirementTracker) {
+/// Updates the tracker with the known records, and with the nodes whose answers to requests show that they are alive.
+fn update_tracker(core: &ProxyCore, tracker: &mut RetirementTracker) {
     let now = core.timers.now();
     let directory = core.directory.borrow();
     let stored = directory.nodes.values();
-    let stored = stored.filter(|view| view.revision > 0);
-    watch.apply_records(stored.map(describe), now);
-    for view in directory.nodes.values() {
-        if let Some((_, at)) = view.load {
-            watch.record_contact(view.record.address, at);
+    let stored = stored.filter(|node| node.revision > 0);
+    tracker.apply_records(stored.map(build_tracked_record), now);
+    for node in directory.nodes.values() {
+        if let Some((_, at)) = node.load {
+            tracker.record_contact(node.record.address, at);
         }
     }
 }
 
-fn describe(view: &KnownNode) -> TrackedRecord {
+fn build_tracked_record(node: &KnownNode) -> TrackedRecord {
     TrackedRecord {
-        address: view.record.address,
-        availability_zone: view.record.availability_zone.clone(),
-        revision: view.revision,
+        address: node.record.address,
+        availability_zone: node.record.availability_zone.clone(),
+        revision: node.revision,
     }
 }
 
-async fn ask_due(core: &Rc<ProxyCore>, watch: &mut RetirementTracker) {
-    let due = watch.take_due_probes(watch.count_probes_per_interval(STEP), core.timers.now());
-    let asked = due.iter().map(|to| is_reachable(core, *to));
-    let reached = join_all(asked).await;
+async fn probe_due_nodes(core: &Rc<ProxyCore>, tracker: &mut RetirementTracker) {
+    let due = tracker.take_due_probes(
+        tracker.count_probes_per_interval(CHECK_INTERVAL),
+        core.timers.now(),
+    );
+    let probes = due.iter().map(|to| is_reachable(core, *to));
+    let is_alive = join_all(probes).await;
     let now = core.timers.now();
-    for (address, reached) in due.into_iter().zip(reached) {
-        if reached {
-            watch.record_contact(address, now);
+    for (address, is_alive) in due.into_iter().zip(is_alive) {
+        if is_alive {
+            tracker.record_contact(address, now);
         }
     }
 }
 
-/// Whether a node answers this one.
+/// Whether a node answers a message of this one.
 pub async fn is_reachable(core: &Rc<ProxyCore>, to: SocketAddr) -> bool {
     exchange_state(core, to, &StateMessage::default())
         .await
@@ -110,39 +116,39 @@
 async fn retire<S: StateStore>(
     core: &Rc<ProxyCore>,
     store: &S,
-    watch: &mut RetirementTracker,
+    tracker: &mut RetirementTracker,
     suspect: SocketAddr,
 ) {
-    match ask_witnesses(core, watch, suspect).await {
-        Reachability::Unreachable => drop_record(core, store, suspect).await,
-        Reachability::Reachable => watch.record_contact(suspect, core.timers.now()),
+    match confirm_loss(core, tracker, suspect).await {
+        Reachability::Unreachable => delete_record(core, store, suspect).await,
+        Reachability::Reachable => tracker.record_contact(suspect, core.timers.now()),
         Reachability::Inconclusive => {}
     }
 }
 
-async fn ask_witnesses(
+async fn confirm_loss(
     core: &Rc<ProxyCore>,
-    watch: &RetirementTracker,
+    tracker: &RetirementTracker,
     suspect: SocketAddr,
 ) -> Reachability {
-    let witnesses = watch.list_confirming_nodes(suspect, core.timers.now());
+    let confirming_nodes = tracker.list_confirming_nodes(suspect, core.timers.now());
     let message = StateMessage {
         check_peer: Some(suspect),
         ..StateMessage::default()
     };
-    let asked = witnesses
+    let answers = confirming_nodes
         .into_iter()
         .take(REQUIRED_CONFIRMATIONS)
         .map(|to| {
             let message = &message;
             async move { exchange_state(core, to, message).await?.0.peer_reachable }
         });
-    judge_reachability(&join_all(asked).await)
+    judge_reachability(&join_all(answers).await)
 }
 
-/// Drops the record if the store has nothing newer than what is known here: the node may have been started
-/// anew and have written it again meanwhile.
-async fn drop_record<S: StateStore>(core: &Rc<ProxyCore>, store: &S, suspect: SocketAddr) {
+/// Deletes the record of a node if the store holds nothing newer than what is known here: the node may have been restarted
+/// and have written its record again meanwhile.
+async fn delete_record<S: StateStore>(core: &Rc<ProxyCore>, store: &S, suspect: SocketAddr) {
     let end = core.directory.borrow().read_position();
     let Some(record) = core.directory.borrow().find_record(suspect) else {
         return;
@@ -155,7 +161,7 @@
             address: suspect,
             instance: record.incarnation.instance,
         }),
-        // Looked at again in the next step, by what the store holds then.
+        // The next check decides again, from what the store holds then.
         Ok(ConditionalAppend::Conflict) | Err(_) => {}
     }
 }
