--- a/src/proxy/entry/request_log_line.rs
+++ b/src/proxy/entry/request_log_line.rs
@@ -5,7 +5,7 @@
         client_reply::RequestOutcome,
         core::ProxyCore,
         entry::request_attempts::RequestAttempts,
-        events::{EventPriority, LoggedEnd, ProxyEvent, in_millis},
+        events::{LoggedEnd, ProxyEvent, Severity, in_millis},
     },
     state::{
         names::{ClassName, ServiceName},
@@ -83,20 +83,20 @@
         let now = self.core.timers.now();
         let took = now.since(self.arrived);
         // The attempts are as important for the log as the end of their request.
-        let priority = end.priority_of_request(took > self.target);
+        let severity = end.severity_of_request(took > self.target);
         let attempts = self.attempts.take_events();
         let soonest_finish = attempts.iter().filter_map(ProxyEvent::refused_finish).min();
         for attempt in attempts {
             // Refused attempts are most of the lines under high load; the earliest finish time among them carries most of their
             // information.
-            let attempt_priority = if attempt.refused_finish().is_some() {
-                EventPriority::Ordinary
+            let attempt_severity = if attempt.refused_finish().is_some() {
+                Severity::Ordinary
             } else {
-                priority
+                severity
             };
             self.core
                 .log_writer
-                .write_with_priority(attempt_priority, &attempt, now);
+                .write_with_severity(attempt_severity, &attempt, now);
         }
         self.core.log(&ProxyEvent::RequestEnded {
             request: std::mem::take(&mut self.request_id),
--- a/src/proxy/events.rs
+++ b/src/proxy/events.rs
@@ -26,7 +26,7 @@
 
 /// How much an event matters when not all lines can be written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum EventPriority {
+pub enum Severity {
     /// A request that went as it should.
     Ordinary,
     /// A request that was answered late. On a day of high load there are many.
--- a/src/proxy/events/catalogue.rs
+++ b/src/proxy/events/catalogue.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     protocol::outcome::RefusalReason,
-    proxy::events::{EventPriority, LoggedEnd, ProxyEvent},
+    proxy::events::{LoggedEnd, ProxyEvent, Severity},
 };
 
 impl ProxyEvent {
@@ -59,17 +59,17 @@
 
     /// How much it matters.
     #[must_use]
-    pub const fn priority(&self) -> EventPriority {
+    pub const fn severity(&self) -> Severity {
         match self {
             Self::RequestEnded {
                 end,
                 took_ms,
                 target_ms,
                 ..
-            } => end.priority_of_request(*took_ms > *target_ms),
-            Self::AttemptReturned { end, .. } | Self::AttemptExecuted { end, .. } => end.priority(),
-            Self::RetrySuppressed { .. } => EventPriority::Ordinary,
-            _ => EventPriority::Important,
+            } => end.severity_of_request(*took_ms > *target_ms),
+            Self::AttemptReturned { end, .. } | Self::AttemptExecuted { end, .. } => end.severity(),
+            Self::RetrySuppressed { .. } => Severity::Ordinary,
+            _ => Severity::Important,
         }
     }
 
@@ -104,22 +104,22 @@
     /// How much the end tells. A refusal for lack of slots is how nodes look for a free one: nothing
     /// failed yet.
     #[must_use]
-    pub const fn priority(&self) -> EventPriority {
+    pub const fn severity(&self) -> Severity {
         match self {
-            Self::Answered(status) if *status < 500 => EventPriority::Ordinary,
-            Self::Refused(RefusalReason::QueueFull) | Self::Abandoned => EventPriority::Ordinary,
-            _ => EventPriority::Important,
+            Self::Answered(status) if *status < 500 => Severity::Ordinary,
+            Self::Refused(RefusalReason::QueueFull) | Self::Abandoned => Severity::Ordinary,
+            _ => Severity::Important,
         }
     }
 
     /// The same for the end of a whole request: a refusal ends it unserved, whatever the reason.
     #[must_use]
-    pub const fn priority_of_request(&self, late: bool) -> EventPriority {
+    pub const fn severity_of_request(&self, late: bool) -> Severity {
         match self {
-            Self::Answered(status) if *status < 500 && late => EventPriority::Late,
-            Self::Answered(status) if *status < 500 => EventPriority::Ordinary,
-            Self::ClientLeft | Self::NoRoute => EventPriority::Ordinary,
-            _ => EventPriority::Important,
+            Self::Answered(status) if *status < 500 && late => Severity::Late,
+            Self::Answered(status) if *status < 500 => Severity::Ordinary,
+            Self::ClientLeft | Self::NoRoute => Severity::Ordinary,
+            _ => Severity::Important,
         }
     }
 }
--- a/src/proxy/events/lines.rs
+++ b/src/proxy/events/lines.rs
@@ -5,7 +5,7 @@
 
 use crate::{
     options::proxy_settings::LineRules,
-    proxy::events::{EventPriority, ProxyEvent},
+    proxy::events::{ProxyEvent, Severity},
     state::{names::NodeName, rate_limit::RateLimit, timestamp::Timestamp},
 };
 use serde::Serialize;
@@ -68,17 +68,17 @@
 
     /// Writes a line if the bounds hold it.
     pub fn write(&self, event: &ProxyEvent, now: Timestamp) {
-        self.write_with_priority(event.priority(), event, now);
+        self.write_with_severity(event.severity(), event, now);
     }
 
     /// Writes a line with another weight than its own: what led to a failure tells as much as the
     /// failure. Important lines left out are counted, and told with the next one.
-    pub fn write_with_priority(&self, priority: EventPriority, event: &ProxyEvent, now: Timestamp) {
-        if !self.is_sampled(priority, event) {
+    pub fn write_with_severity(&self, severity: Severity, event: &ProxyEvent, now: Timestamp) {
+        if !self.is_sampled(severity, event) {
             return;
         }
-        if !self.admit(priority, now) {
-            if priority != EventPriority::Ordinary {
+        if !self.admit(severity, now) {
+            if severity != Severity::Ordinary {
                 self.dropped.set(self.dropped.get() + 1);
             }
             return;
@@ -86,29 +86,27 @@
         let lines = self.dropped.take();
         if lines > 0 {
             self.emit(
-                EventPriority::Important,
+                Severity::Important,
                 &ProxyEvent::LinesDropped { lines },
                 now,
             );
         }
-        self.emit(priority, event, now);
+        self.emit(severity, event, now);
     }
 
     /// Takes one line out of the bounds, if they hold it.
-    pub fn admit(&self, priority: EventPriority, now: Timestamp) -> bool {
-        match priority {
-            EventPriority::Important | EventPriority::Late => {
-                self.telling.borrow_mut().try_acquire(now)
-            }
-            EventPriority::Ordinary => self.ordinary.borrow_mut().try_acquire(now),
+    pub fn admit(&self, severity: Severity, now: Timestamp) -> bool {
+        match severity {
+            Severity::Important | Severity::Late => self.telling.borrow_mut().try_acquire(now),
+            Severity::Ordinary => self.ordinary.borrow_mut().try_acquire(now),
         }
     }
 
-    fn is_sampled(&self, priority: EventPriority, event: &ProxyEvent) -> bool {
-        let one_in = match priority {
-            EventPriority::Important => 1,
-            EventPriority::Late => self.rules.one_in_late(),
-            EventPriority::Ordinary => self.rules.one_in,
+    fn is_sampled(&self, severity: Severity, event: &ProxyEvent) -> bool {
+        let one_in = match severity {
+            Severity::Important => 1,
+            Severity::Late => self.rules.one_in_late(),
+            Severity::Ordinary => self.rules.one_in,
         };
         event.request().is_none_or(|request| {
             let mut hasher = DefaultHasher::new();
@@ -135,7 +133,7 @@
         kept.front().map_or(self.next.get(), |(number, _)| *number)
     }
 
-    fn emit(&self, priority: EventPriority, event: &ProxyEvent, now: Timestamp) {
+    fn emit(&self, severity: Severity, event: &ProxyEvent, now: Timestamp) {
         let (number, name) = event.describe();
         let seq = self.next.get();
         self.next.set(seq + 1);
@@ -150,16 +148,14 @@
             event,
         };
         let fields = serde_json::to_string(&line).unwrap_or_default();
-        let level = match priority {
-            EventPriority::Ordinary => Level::INFO,
-            EventPriority::Late | EventPriority::Important => Level::WARN,
+        let level = match severity {
+            Severity::Ordinary => Level::INFO,
+            Severity::Late | Severity::Important => Level::WARN,
         };
         self.keep(seq, level, (number, name), &fields);
-        match priority {
-            EventPriority::Ordinary => tracing::info!(event = number, name, fields),
-            EventPriority::Late | EventPriority::Important => {
-                tracing::warn!(event = number, name, fields);
-            }
+        match severity {
+            Severity::Ordinary => tracing::info!(event = number, name, fields),
+            Severity::Late | Severity::Important => tracing::warn!(event = number, name, fields),
         }
     }
 
--- a/tests/integration/proxy_decisions.rs
+++ b/tests/integration/proxy_decisions.rs
@@ -12,7 +12,7 @@
     protocol::store::StoreTopic,
     proxy::{
         directory::{Directory, StateSource},
-        events::{EventPriority, LineWriter, ProxyEvent},
+        events::{LineWriter, ProxyEvent, Severity},
     },
     state::{
         configuration::ConfigurationVersion,
@@ -376,10 +376,10 @@
     let lines = LineWriter::new("n1".into(), KEEP_ALL, Timestamp(1));
     let now = Timestamp(1);
     let ordinary = (0..1_000)
-        .filter(|_| lines.admit(EventPriority::Ordinary, now))
+        .filter(|_| lines.admit(Severity::Ordinary, now))
         .count();
     let telling = (0..1_000)
-        .filter(|_| lines.admit(EventPriority::Important, now))
+        .filter(|_| lines.admit(Severity::Important, now))
         .count();
     assert_eq!((ordinary, telling), (20, 150));
 }
