--- a/src/proxy/state_messages.rs
+++ b/src/proxy/state_messages.rs
@@ -1,4 +1,4 @@
-//! Messages with state from node to node, and how they reach all nodes of a zone.
+//! Sends state messages to other nodes, to one node or along a tree to all nodes of a zone.
 
 use crate::{
     coordination::fanout::split_receivers,
@@ -12,59 +12,61 @@
 use std::{net::SocketAddr, rc::Rc, time::Duration};
 use tokio::task::spawn_local;
 
-/// How a message with state is sent. A node that can't be reached in time is passed over; it learns the
-/// version from the next request.
-const RULES: SendOptions = SendOptions {
+/// How a state message is sent. A node that can't be reached in time is skipped; it learns the version of the routing table from
+/// the next request.
+const SEND_OPTIONS: SendOptions = SendOptions {
     reuse: ConnectionReuse::Any,
     connect_timeout: Duration::from_millis(250),
-    idle_limit: IDLE_LIMIT,
-    body_limit: BODY_LIMIT,
+    idle_limit: MAX_IDLE_TIME,
+    body_limit: MAX_BODY_BYTES,
     answer_timeouts: Some(AnswerTimeouts {
-        head: TIMEOUT,
-        body_chunk: TIMEOUT,
+        head: ANSWER_TIMEOUT,
+        body_chunk: ANSWER_TIMEOUT,
     }),
 };
-/// Longest time that a kept connection to another node may have been idle. A VM that lost power meanwhile shows when a
-/// connection is opened, and only after the whole patience on a kept one.
-const IDLE_LIMIT: Duration = Duration::from_secs(1);
-/// Largest answer, in bytes: a routing table of some ten thousand routes.
-const BODY_LIMIT: usize = 4 * 1024 * 1024;
-/// Longest time in which nothing comes of an answer to a message with state: that of a VM which is dark or whose link is
-/// full.
-const TIMEOUT: Duration = Duration::from_secs(1);
+/// Longest idle time after which a connection to another node is reused. If the VM of that node has lost power meanwhile, a new
+/// connection fails after its connect timeout, a reused one only after the longer answer timeout.
+const MAX_IDLE_TIME: Duration = Duration::from_secs(1);
+/// Largest body of an answer in bytes. It holds a routing table of some ten thousand routes.
+const MAX_BODY_BYTES: usize = 4 * 1024 * 1024;
+/// Longest time without any byte of an answer to a state message. It covers VMs that are down or whose link is full.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Sends a message to a few of the receivers, which pass it on to the rest.
+/// Sends a message to a few of the receivers, which forward it to the others.
 pub fn send_along_tree(core: &Rc<ProxyCore>, receivers: &[SocketAddr], message: &StateMessage) {
-    for part in split_receivers(receivers) {
+    for subtree in split_receivers(receivers) {
         let core = Rc::clone(core);
         let message = message.clone();
-        spawn_local(async move { send_to_first(&core, part, message).await });
+        spawn_local(async move { send_to_any(&core, subtree, message).await });
     }
 }
 
-/// Sends a message to the first of the receivers that takes it.
-async fn send_to_first(core: &ProxyCore, receivers: Vec<SocketAddr>, mut message: StateMessage) {
-    let mut rest = receivers;
-    while let Some(to) = rest.pop() {
-        message.forward_to.clone_from(&rest);
+/// Tries the receivers, the last one first, until one accepts the message. That one forwards it to those not tried yet.
+async fn send_to_any(core: &ProxyCore, receivers: Vec<SocketAddr>, mut message: StateMessage) {
+    let mut remaining = receivers;
+    while let Some(to) = remaining.pop() {
+        message.forward_to.clone_from(&remaining);
         if send_state(core, to, &message).await.is_some() {
             return;
         }
     }
 }
 
-/// The answer of the other node, if it has taken the message.
+/// Sends a message to a node. Returns its answer; none if the node did not accept the message.
 pub async fn send_state(
     core: &ProxyCore,
     to: SocketAddr,
     message: &StateMessage,
 ) -> Option<Response<Bytes>> {
-    let request = build_state(serde_json::to_vec(message).ok()?);
-    let sent = core.outgoing.send(to, request, RULES, |_| true).await;
+    let request = build_request(serde_json::to_vec(message).ok()?);
+    let sent = core
+        .outgoing
+        .send(to, request, SEND_OPTIONS, |_| true)
+        .await;
     sent.ok().filter(|answer| answer.status().is_success())
 }
 
-/// Sends a message and returns what the other node answers, if it does, with its bytes.
+/// Sends a message to a node. Returns the message in its answer and the size of that in bytes; none without a valid answer.
 pub async fn exchange_state(
     core: &ProxyCore,
     to: SocketAddr,
@@ -85,27 +87,27 @@
     }
 }
 
-/// Counts the bytes of a message from another node.
+/// Adds the size of a message from another node to the counter of state bytes.
 pub fn count_state_bytes(core: &ProxyCore, bytes: usize) {
     let counter = &core.counters.state_bytes;
     let added = u64::try_from(bytes).unwrap_or(u64::MAX);
     counter.set(counter.get().saturating_add(added));
 }
 
-/// Tells of a message that can't be read.
+/// Logs that a state message could not be decoded.
 pub fn log_malformed(core: &ProxyCore, error: &serde_json::Error) {
     core.log(&ProxyEvent::StateRejected {
         error: error.to_string(),
     });
 }
 
-fn build_state(body: Vec<u8>) -> Request<Full<Bytes>> {
+fn build_request(body: Vec<u8>) -> Request<Full<Bytes>> {
     let mut request = Request::new(Full::new(Bytes::from(body)));
     *request.method_mut() = Method::POST;
     *request.uri_mut() = Uri::from_static("/state");
-    let mark = HeaderValue::from_static("1");
+    let marker = HeaderValue::from_static("1");
     request
         .headers_mut()
-        .insert(HeaderName::from_static(STATE_HEADER), mark);
+        .insert(HeaderName::from_static(STATE_HEADER), marker);
     request
 }
--- a/src/proxy/state_sharing.rs
+++ b/src/proxy/state_sharing.rs
@@ -1,4 +1,5 @@
-//! What nodes tell each other beside requests: versions of the routing table, records of nodes, questions.
+//! Exchanges state with other nodes besides requests: versions of the routing table, records of nodes, evacuations, quarantines
+//! and checks of whether a node can be reached.
 
 use crate::{
     coordination::table_sources::TableOffer,
@@ -24,16 +25,17 @@
 use std::rc::Rc;
 use tokio::task::spawn_local;
 
-/// Nodes that are asked to read the store in place of one that can't.
-const STAND_INS: usize = 2;
-/// Tells the nodes of the zone the records of nodes that this one has read from the store.
+/// Number of nodes that are asked to read the store in place of one that can't.
+const SUBSTITUTE_READERS: usize = 2;
+
+/// Sends records of nodes that this node has read from the store to the nodes of its zone.
 pub fn share_with_zone(core: &Rc<ProxyCore>, records: Vec<StoredRecord>) {
     if records.is_empty() {
         return;
     }
     let mut receivers = core.list_zone_nodes();
-    // The other reader of the zone tells it too; with another order the loss of a node that passes on
-    // is made up for.
+    // The other reader of the zone sends the records too. The random order gives it another tree, so that the loss of a
+    // forwarding node is compensated.
     receivers.shuffle(&mut rand::rng());
     core.log(&ProxyEvent::ZoneNotified {
         nodes: receivers.len(),
@@ -46,12 +48,12 @@
     send_along_tree(core, &receivers, &message);
 }
 
-/// Has a few other nodes of the zone read the store for a while. The store may turn away both nodes that read for
-/// a zone and no others; the rest of the zone would not hear of a change in time.
+/// Asks a few other nodes of the zone to read the store for a while. The store may reject both readers of a zone and no other
+/// node; the zone would then not learn of a change in time.
 pub fn delegate_store_reading(core: &Rc<ProxyCore>) {
     let mut zone = core.list_zone_nodes();
     zone.shuffle(&mut rand::rng());
-    zone.truncate(STAND_INS);
+    zone.truncate(SUBSTITUTE_READERS);
     core.log(&ProxyEvent::ReadingHandedOver { nodes: zone.len() });
     for to in zone {
         let core = Rc::clone(core);
@@ -63,7 +65,7 @@
     }
 }
 
-/// Takes in a message of another node, passes it on as told, and answers what is asked in it.
+/// Applies a message of another node, forwards it if the message says so, and answers what it asks.
 pub async fn answer_state_message(core: &Rc<ProxyCore>, body: &[u8]) -> CallerReply {
     let message: StateMessage = match serde_json::from_slice(body) {
         Ok(message) => message,
@@ -73,12 +75,13 @@
         }
     };
     count_state_bytes(core, body.len());
-    let (wanted, reaches, from) = (message.changes_since, message.check_peer, message.sender);
+    let (changes_since, check_peer, from) =
+        (message.changes_since, message.check_peer, message.sender);
     let has_records = message.has_records;
     let is_offer = message.offered_version.is_some();
-    let tells_evacuations = message.evacuations.is_some();
-    take_message(core, message);
-    let mut answer = match wanted {
+    let has_evacuations = message.evacuations.is_some();
+    apply_message(core, message);
+    let mut answer = match changes_since {
         Some(version) => StateMessage {
             evacuations: core.evacuations.describe(),
             ..core
@@ -88,23 +91,23 @@
         },
         None => StateMessage::default(),
     };
-    if tells_evacuations {
+    if has_evacuations {
         answer.evacuations_position = Some(core.evacuations.position());
     }
     if is_offer {
         answer.offered_version = Some(core.directory.borrow().version());
     }
-    if let Some(suspect) = reaches {
+    if let Some(suspect) = check_peer {
         answer.peer_reachable = Some(is_reachable(core, suspect).await);
     }
     if answer == StateMessage::default() {
         return Response::new(Full::default());
     }
     let body = serde_json::to_vec(&answer).unwrap_or_default();
-    if let (Some(change), Some(before)) = (&answer.change, wanted) {
+    if let (Some(change), Some(known_version)) = (&answer.change, changes_since) {
         core.log(&ProxyEvent::TableSent {
             to: from,
-            before: before.0,
+            before: known_version.0,
             version: change.version.0,
             bytes: body.len(),
         });
@@ -112,7 +115,7 @@
     Response::new(Full::new(Bytes::from(body)))
 }
 
-fn take_message(core: &Rc<ProxyCore>, mut message: StateMessage) {
+fn apply_message(core: &Rc<ProxyCore>, mut message: StateMessage) {
     if let Some(era) = message.lost_in_epoch {
         request_own_record_rewrite(core, era);
     }
--- a/src/proxy/table_fetching.rs
+++ b/src/proxy/table_fetching.rs
@@ -1,8 +1,9 @@
-//! A newer routing table, fetched from a node that offers it and offered on.
+//! Fetches a newer routing table from a node that offers it, and offers it to further nodes.
 //!
-//! A table goes to each node once and by the size of what changed. Were it sent to all that may lack it, a node with a
-//! link of 10 Mbit/s would get the same table of thousands of routes from several nodes, could not take it in time, be taken for lost and
-//! be sent it again; while that lasts, no requests pass between nodes either.
+//! Each node fetches a table once, and only what has changed. If nodes sent tables to all nodes that may lack them, a node
+//! with a link of 10 Mbit/s would get the same table of thousands of routes from several nodes. It could not receive them in
+//! time, would be considered lost and would be sent the table again; meanwhile requests between nodes would not get through
+//! either.
 
 use crate::{
     coordination::table_sources::{FetchStep, TableOffer},
@@ -20,40 +21,40 @@
 use std::{net::SocketAddr, rc::Rc};
 use tokio::task::spawn_local;
 
-/// Takes in the version that stood on a request or an answer of another node.
+/// Records the version that another node reported on a request or an answer, and starts to fetch if it is newer.
 pub fn note_peer_version(core: &Rc<ProxyCore>, from: SocketAddr, version: ConfigurationVersion) {
-    let (own, now) = note_report(core, from, version);
-    let is_news = core
+    let (own_version, now) = record_report(core, from, version);
+    let is_newer = core
         .table_sources
         .borrow_mut()
-        .record_report(from, version, own, now);
-    if is_news {
+        .record_report(from, version, own_version, now);
+    if is_newer {
         start_fetching(core);
     }
 }
 
-/// Takes in a version that another node offers.
+/// Records a version that another node offers, and starts to fetch if it is newer.
 pub fn accept_offer(core: &Rc<ProxyCore>, offer: TableOffer) {
-    note_report(core, offer.from, offer.version);
+    record_report(core, offer.from, offer.version);
     core.table_sources.borrow_mut().record_offer(offer);
-    // Wakes only who waits now: an offer that is asked about already must not end a question that comes later.
+    // Wakes only a task that is waiting now: an offer that is already being fetched must not cancel a later fetch.
     core.table_offered.notify_waiters();
     start_fetching(core);
 }
 
-/// Records the version that another node has in force; returns the version in force here, and the time.
-fn note_report(
+/// Records the version that another node has in force. Returns the version in force here and the current time.
+fn record_report(
     core: &ProxyCore,
     from: SocketAddr,
     version: ConfigurationVersion,
 ) -> (ConfigurationVersion, Timestamp) {
     let mut directory = core.directory.borrow_mut();
     directory.record_version(from, version);
-    let (own, now) = (directory.version(), core.timers.now());
+    let (own_version, now) = (directory.version(), core.timers.now());
     core.version_lag
         .borrow_mut()
-        .record_report(version, own, now);
-    (own, now)
+        .record_report(version, own_version, now);
+    (own_version, now)
 }
 
 fn start_fetching(core: &Rc<ProxyCore>) {
@@ -69,20 +70,23 @@
 
 async fn fetch_until_current(core: &Rc<ProxyCore>) {
     loop {
-        let (own, now) = (core.directory.borrow().version(), core.timers.now());
-        pass_on_offers(core, own);
-        let step = core.table_sources.borrow_mut().plan_next_step(own, now);
+        let (own_version, now) = (core.directory.borrow().version(), core.timers.now());
+        forward_offers(core, own_version);
+        let step = core
+            .table_sources
+            .borrow_mut()
+            .plan_next_step(own_version, now);
         match step {
-            FetchStep::FetchOffered(from, version) => fetch(core, from, version, own).await,
-            // Whoever offers the version is nearer than who was heard of by a request.
+            FetchStep::FetchOffered(from, version) => fetch(core, from, version, own_version).await,
+            // A node that offers the version is nearer than one that reported it on a request, so an offer takes precedence.
             FetchStep::FetchReported(from, version) => tokio::select! {
-                () = fetch(core, from, version, own) => {}
+                () = fetch(core, from, version, own_version) => {}
                 () = core.table_offered.notified() => {}
             },
             FetchStep::Wait(until) => {
-                let due = core.timers.after(until.since(now));
+                let wake_up = core.timers.after(until.since(now));
                 tokio::select! {
-                    _ = due.recv_async() => {}
+                    _ = wake_up.recv_async() => {}
                     () = core.table_offered.notified() => {}
                 }
             }
@@ -91,12 +95,15 @@
     }
 }
 
-/// Passes on what is in force now, from here, and offers of nodes that were asked in vain, as they came: the nodes that
-/// come after may get through, and must not wait for this one.
-fn pass_on_offers(core: &Rc<ProxyCore>, own: ConfigurationVersion) {
-    let offers = core.table_sources.borrow_mut().take_forwardable_offers(own);
+/// Offers the version in force to the nodes that accepted offers name as next receivers. If the fetch from the offering node
+/// failed, its offer is forwarded unchanged: the next nodes may reach it, and must not wait for this node.
+fn forward_offers(core: &Rc<ProxyCore>, own_version: ConfigurationVersion) {
+    let offers = core
+        .table_sources
+        .borrow_mut()
+        .take_forwardable_offers(own_version);
     for offer in offers {
-        if offer.version <= own {
+        if offer.version <= own_version {
             offer_table(core, &offer.forward_to);
         } else {
             forward_offer(core, &offer);
@@ -104,29 +111,29 @@
     }
 }
 
-/// Fetches the table in force at another node, after a start.
+/// Fetches the table in force at another node after this node has started.
 pub async fn fetch_first_table(core: &Rc<ProxyCore>, from: SocketAddr) {
-    let own = core.directory.borrow().version();
-    if let Err(error) = fetch_since(core, from, own).await {
+    let own_version = core.directory.borrow().version();
+    if let Err(error) = fetch_since(core, from, own_version).await {
         let error = error.to_string();
         core.log(&ProxyEvent::ChangeRejected { from, error });
     }
 }
 
-/// Fetches what is newer from one node. What can't be applied is asked for once more: since the version that has come into
-/// force meanwhile, else as a whole.
+/// Fetches changes from one node. If they can't be applied, they are fetched once more: since the version that has come into
+/// force meanwhile if that was the reason, otherwise as a whole table.
 async fn fetch(
     core: &Rc<ProxyCore>,
     from: SocketAddr,
     version: ConfigurationVersion,
-    own: ConfigurationVersion,
+    own_version: ConfigurationVersion,
 ) {
     core.log(&ProxyEvent::StateFetched {
         from,
         version: version.0,
-        before: own.0,
+        before: own_version.0,
     });
-    if let Err(error) = fetch_since(core, from, own).await {
+    if let Err(error) = fetch_since(core, from, own_version).await {
         core.log(&ProxyEvent::ChangeRejected {
             from,
             error: error.to_string(),
@@ -135,7 +142,7 @@
             ChangeError::Base(_) => core.directory.borrow().version(),
             ChangeError::Terms(_) | ChangeError::Digest => ConfigurationVersion::default(),
         };
-        // If this fails too, the next node or the store is asked.
+        // If this fails too, the table comes from the next node or from the store.
         let _ = fetch_since(core, from, since).await;
     }
 }
@@ -143,29 +150,29 @@
 async fn fetch_since(
     core: &Rc<ProxyCore>,
     from: SocketAddr,
-    own: ConfigurationVersion,
+    own_version: ConfigurationVersion,
 ) -> Result<(), ChangeError> {
     let message = StateMessage {
-        changes_since: Some(own),
+        changes_since: Some(own_version),
         has_records: core.has_records(),
         sender: Some(core.settings.peers),
         ..StateMessage::default()
     };
-    let asked = core.timers.now();
+    let sent_at = core.timers.now();
     let answer = exchange_state(core, from, &message).await;
-    let took_ms = in_millis(core.timers.now().since(asked));
+    let took_ms = in_millis(core.timers.now().since(sent_at));
     let Some((answer, bytes)) = answer else {
         core.log(&ProxyEvent::FetchFailed { from, took_ms });
         return Ok(());
     };
-    note_received(core, from, &answer, bytes, took_ms);
+    log_received(core, from, &answer, bytes, took_ms);
     if let Some(evacuations) = &answer.evacuations {
         apply_peer_evacuations(core, evacuations);
     }
-    take_fetched(core, answer)
+    apply_answer(core, answer)
 }
 
-fn note_received(
+fn log_received(
     core: &ProxyCore,
     from: SocketAddr,
     answer: &StateMessage,
@@ -175,8 +182,8 @@
     let Some(change) = &answer.change else {
         return;
     };
-    let news = change.version > core.directory.borrow().version();
-    if !news {
+    let is_newer = change.version > core.directory.borrow().version();
+    if !is_newer {
         increment(&core.counters.stale_tables);
     }
     core.log(&ProxyEvent::TableReceived {
@@ -184,20 +191,20 @@
         base: change.base.unwrap_or_default().0,
         version: change.version.0,
         bytes,
-        news,
+        news: is_newer,
         took_ms,
     });
 }
 
-fn take_fetched(core: &ProxyCore, answer: StateMessage) -> Result<(), ChangeError> {
+fn apply_answer(core: &ProxyCore, answer: StateMessage) -> Result<(), ChangeError> {
     for stored in answer.nodes {
         core.apply_record(stored, StateSource::Peer);
     }
     let Some(change) = answer.change else {
         return Ok(());
     };
-    let is_news = change.version > core.directory.borrow().version();
-    if is_news {
+    let is_newer = change.version > core.directory.borrow().version();
+    if is_newer {
         let table = core.directory.borrow().apply_change(&change)?;
         core.apply_table(table, StateSource::Peer);
     }
--- a/src/proxy/table_offering.rs
+++ b/src/proxy/table_offering.rs
@@ -1,4 +1,4 @@
-//! Keeps the nodes of a zone at the newest version that one of them has in force.
+//! Brings all nodes of a zone to the newest version of the routing table that one of them has in force.
 
 use crate::{
     coordination::table_sources::TableOffer,
@@ -15,16 +15,16 @@
 use std::{net::SocketAddr, rc::Rc, time::Duration};
 use tokio::task::spawn_local;
 
-/// How often a node looks whether the one after it has the version in force.
-const LOOK_PAUSE: Duration = Duration::from_millis(500);
+/// Interval at which a node checks whether its successor in the ring of the zone has the version in force.
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Offers the version in force to nodes of the zone that lack it, until dropped.
+/// Offers the version in force to the nodes of the zone that lack it, until dropped.
 pub async fn keep_zone_current(core: Rc<ProxyCore>) {
     loop {
         if core.is_zone_reader() || core.is_substitute_reader() {
             offer_along_tree(&core);
         }
-        let due = core.timers.after(LOOK_PAUSE);
+        let due = core.timers.after(CHECK_INTERVAL);
         tokio::select! {
             _ = due.recv_async() => {
                 check_successors(&core);
@@ -37,11 +37,11 @@
 
 fn offer_along_tree(core: &Rc<ProxyCore>) {
     let version = core.directory.borrow().version();
-    let lacking = core.list_zone_nodes_without_table();
+    let candidates = core.list_zone_nodes_without_table();
     let mut receivers = core
         .offer_rounds
         .borrow_mut()
-        .plan_tree(version, lacking.into_iter());
+        .plan_tree(version, candidates.into_iter());
     if receivers.is_empty() {
         return;
     }
@@ -50,7 +50,8 @@
         along_tree: receivers.len(),
         directly: 0,
     });
-    // The other reader of the zone offers it too; with another order the loss of a node that passes on is made up for.
+    // The other reader of the zone offers it too. The random order gives it another tree, so that the loss of a forwarding
+    // node is compensated.
     receivers.shuffle(&mut rand::rng());
     offer_table(core, &receivers);
 }
@@ -84,12 +85,14 @@
         ..StateMessage::default()
     };
     let answer = exchange_state(core, to, &message).await;
-    if let Some(has) = answer.and_then(|(answer, _)| answer.offered_version) {
-        core.directory.borrow_mut().record_version(to, has);
+    if let Some(known_version) = answer.and_then(|(answer, _)| answer.offered_version) {
+        core.directory
+            .borrow_mut()
+            .record_version(to, known_version);
     }
 }
 
-/// Offers the version in force to nodes, a few of which pass the offer on.
+/// Offers the version in force to nodes, along a tree.
 pub fn offer_table(core: &Rc<ProxyCore>, receivers: &[SocketAddr]) {
     let offer = TableOffer {
         from: core.settings.peers,
@@ -99,7 +102,7 @@
     forward_offer(core, &offer);
 }
 
-/// Passes an offer on as it came.
+/// Forwards an offer unchanged: receivers fetch from the node that made it.
 pub fn forward_offer(core: &Rc<ProxyCore>, offer: &TableOffer) {
     let message = StateMessage {
         offered_version: Some(offer.version),
