--- a/src/proxy/metrics.rs
+++ b/src/proxy/metrics.rs
@@ -1,4 +1,4 @@
-//! What a node counts, as the text that scrapers of metrics read. `docs/operators/metrics.md` lists it.
+//! Metrics of a node in the `OpenMetrics` text format. `docs/operators/metrics.md` lists them.
 
 use crate::{
     proxy::{
@@ -15,40 +15,40 @@
 };
 use std::fmt;
 
-/// Content type of the text.
+/// Content type of the `OpenMetrics` text.
 pub const METRICS_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
-/// Start of every name.
-const PREFIX: &str = "camphorturn";
+/// Prefix of every metric name.
+const NAME_PREFIX: &str = "camphorturn";
 
-/// A number with its name and what it means.
+/// Value of a metric without labels, with its name and help text.
 #[derive(Debug)]
-struct Figure {
+struct MetricValue {
     name: &'static str,
     help: &'static str,
     value: u64,
 }
 
-/// The figures of one moment.
+/// Values of all metrics at one point in time.
 #[derive(Debug)]
-struct NodeFigures {
-    counters: Vec<Figure>,
-    gauges: Vec<Figure>,
+struct NodeMetrics {
+    counters: Vec<MetricValue>,
+    gauges: Vec<MetricValue>,
     classes: Vec<(String, ClassCounts)>,
     store_calls: Vec<(StoreCall, CallReason, u64)>,
 }
 
-/// The figures of a node as text.
+/// Renders the current metrics of a node as `OpenMetrics` text.
 #[must_use]
 pub fn render_metrics(core: &ProxyCore) -> String {
-    let mut registry = Registry::with_prefix(PREFIX);
-    registry.register_collector(Box::new(NodeFigures::read(core)));
+    let mut registry = Registry::with_prefix(NAME_PREFIX);
+    registry.register_collector(Box::new(NodeMetrics::read(core)));
     let mut text = String::new();
     // Writing to a string never fails.
     let _ = encode(&mut text, &registry);
     text
 }
 
-impl NodeFigures {
+impl NodeMetrics {
     fn read(core: &ProxyCore) -> Self {
         let classes = core.class_counts.borrow();
         let classes = classes.iter();
@@ -106,13 +106,13 @@
     }
 }
 
-impl Collector for NodeFigures {
+impl Collector for NodeMetrics {
     fn encode(&self, mut encoder: DescriptorEncoder<'_>) -> Result<(), fmt::Error> {
-        for Figure { name, help, value } in &self.counters {
+        for MetricValue { name, help, value } in &self.counters {
             let metric = encoder.encode_descriptor(name, help, None, MetricType::Counter)?;
             ConstCounter::new(*value).encode(metric)?;
         }
-        for Figure { name, help, value } in &self.gauges {
+        for MetricValue { name, help, value } in &self.gauges {
             let metric = encoder.encode_descriptor(name, help, None, MetricType::Gauge)?;
             let value = i64::try_from(*value).unwrap_or(i64::MAX);
             ConstGauge::new(value).encode(metric)?;
@@ -127,52 +127,52 @@
     }
 }
 
-fn read_counters(core: &ProxyCore) -> Vec<Figure> {
+fn read_counters(core: &ProxyCore) -> Vec<MetricValue> {
     let counters = &core.counters;
-    let figure = |name, help, value| Figure { name, help, value };
+    let metric = |name, help, value| MetricValue { name, help, value };
     vec![
-        figure("requests", "Requests of clients", counters.requests.get()),
-        figure(
+        metric("requests", "Requests of clients", counters.requests.get()),
+        metric(
             "answered",
             "Of these, answered by an upstream",
             counters.answered.get(),
         ),
-        figure(
+        metric(
             "refused",
             "Of these, refused without having run",
             counters.refused.get(),
         ),
-        figure(
+        metric(
             "unknown",
             "Of these, ended without it being known whether they ran",
             counters.unknown.get(),
         ),
-        figure(
+        metric(
             "executed",
             "Requests handed to the upstream beside the node",
             counters.executed.get(),
         ),
-        figure(
+        metric(
             "repeats",
             "Requests sent to a further upstream",
             counters.retries.get(),
         ),
-        figure(
+        metric(
             "crashed",
             "Requests that were at the upstream when it crashed",
             counters.aborted_by_crash.get(),
         ),
-        figure(
+        metric(
             "probes",
             "Questions to the upstream for its load",
             counters.probes.get(),
         ),
-        figure(
+        metric(
             "state_bytes",
             "Bytes of messages with state from other nodes",
             counters.state_bytes.get(),
         ),
-        figure(
+        metric(
             "stale_tables",
             "Routing tables from other nodes that were no news",
             counters.stale_tables.get(),
@@ -180,40 +180,40 @@
     ]
 }
 
-fn read_gauges(core: &ProxyCore) -> Vec<Figure> {
+fn read_gauges(core: &ProxyCore) -> Vec<MetricValue> {
     let load = core.slots.load();
     let directory = core.directory.borrow();
-    let figure = |name, help, value| Figure { name, help, value };
+    let metric = |name, help, value| MetricValue { name, help, value };
     let in_progress = u64::try_from(core.in_progress.get()).unwrap_or(u64::MAX);
     let nodes = u64::try_from(directory.nodes.len()).unwrap_or(u64::MAX);
     let quarantined = core.quarantine.borrow().len(core.timers.now());
     let quarantined = u64::try_from(quarantined).unwrap_or(u64::MAX);
     vec![
-        figure(
+        metric(
             "in_progress",
             "Requests of clients in progress",
             in_progress,
         ),
-        figure("running", "Requests at the upstream", load.running.into()),
-        figure("queued", "Requests that wait for it", load.queued.into()),
-        figure("limit", "Requests let run at once", load.limit.into()),
-        figure(
+        metric("running", "Requests at the upstream", load.running.into()),
+        metric("queued", "Requests that wait for it", load.queued.into()),
+        metric("limit", "Requests let run at once", load.limit.into()),
+        metric(
             "slowdown_percent",
             "Time that work takes now, in percent of the usual",
             load.slowdown_percent.into(),
         ),
-        figure(
+        metric(
             "quarantined",
             "Requests that are kept from upstreams since these crash under them",
             quarantined,
         ),
-        figure(
+        metric(
             "evacuated_zones",
             "Availability zones whose upstreams get no requests",
             u64::try_from(core.evacuations.zones().len()).unwrap_or(u64::MAX),
         ),
-        figure("nodes", "Nodes known, this one included", nodes),
-        figure(
+        metric("nodes", "Nodes known, this one included", nodes),
+        metric(
             "version",
             "Version of the configuration in force",
             directory.version().0,
--- a/src/proxy/operator_requests.rs
+++ b/src/proxy/operator_requests.rs
@@ -1,4 +1,4 @@
-//! Answers operators' tools on the node's event loop.
+//! Answers requests of operators' tools on the event loop of the node.
 
 use crate::{
     protocol::{
@@ -22,29 +22,29 @@
 use std::rc::Rc;
 use tokio::task::spawn_local;
 
-/// Answers requests until their senders are gone. `orders` takes records of this node to be stored.
+/// Answers requests until all their senders are dropped. Records of this node that are to be stored go into `record_writes`.
 pub async fn answer_operators<S: PublicationStore>(
     core: Rc<ProxyCore>,
     store: S,
-    orders: Sender<RecordWrite>,
+    record_writes: Sender<RecordWrite>,
     requests: Receiver<OperatorRequest>,
 ) {
     while let Ok(request) = requests.recv_async().await {
-        // A publication waits for the store; other questions need not wait for it.
+        // Each request has a task of its own, so that none waits for a publication, which waits for the store.
         spawn_local(answer(
             Rc::clone(&core),
             store.clone(),
-            orders.clone(),
+            record_writes.clone(),
             request,
         ));
     }
 }
 
-/// The asker may have given up meanwhile: a failing `send` on a reply channel is no error.
+/// Answers one request. Errors of `send` are ignored: the client may have closed its connection meanwhile.
 async fn answer<S: PublicationStore>(
     core: Rc<ProxyCore>,
     store: S,
-    orders: Sender<RecordWrite>,
+    record_writes: Sender<RecordWrite>,
     request: OperatorRequest,
 ) {
     match request {
@@ -55,10 +55,10 @@
             let _ = reply.send(describe_condition(&core));
         }
         OperatorRequest::LogLines { from, reply } => {
-            let _ = reply.send(list_lines(&core, from));
+            let _ = reply.send(list_log_lines(&core, from));
         }
         OperatorRequest::Drain { reply } => {
-            drain(&core, &orders).await;
+            drain(&core, &record_writes).await;
             let _ = reply.send(describe_condition(&core));
         }
         OperatorRequest::Publish { request, reply } => {
@@ -84,13 +84,13 @@
     }
 }
 
-async fn drain(core: &Rc<ProxyCore>, orders: &Sender<RecordWrite>) {
-    if let Some(run) = find_own_identity(core) {
-        apply_departure(core, &run, orders).await;
+async fn drain(core: &Rc<ProxyCore>, record_writes: &Sender<RecordWrite>) {
+    if let Some(incarnation) = find_own_identity(core) {
+        apply_departure(core, &incarnation, record_writes).await;
     }
 }
 
-fn list_lines(core: &ProxyCore, from: u64) -> LogPage {
+fn list_log_lines(core: &ProxyCore, from: u64) -> LogPage {
     let oldest = core.log_writer.oldest_kept();
     let (lines, next) = core.log_writer.list_kept(from);
     LogPage {
@@ -100,20 +100,20 @@
     }
 }
 
-/// Whether the node takes requests, and what its upstream has to do.
+/// Whether the node accepts requests, and the load of its upstream.
 #[must_use]
 pub fn describe_condition(core: &ProxyCore) -> NodeHealth {
     let load = core.slots.load();
     let own = core.local_upstream.borrow();
     NodeHealth {
         ready: core.is_ready(),
-        leaving: own.current().is_some_and(|run| run.leaving),
+        leaving: own.current().is_some_and(|current| current.leaving),
         running: load.running,
         queued: load.queued,
     }
 }
 
-/// All that a node tells of itself.
+/// The status of the node and of all that it knows.
 #[must_use]
 pub fn describe_node(core: &ProxyCore) -> NodeStatus {
     let settings = &core.settings;
@@ -141,11 +141,11 @@
 fn describe_upstream(core: &ProxyCore) -> Option<UpstreamStatus> {
     let load = core.slots.load();
     let own = core.local_upstream.borrow();
-    let run = own.current()?;
+    let current = own.current()?;
     Some(UpstreamStatus {
-        instance: run.identity.instance.clone(),
-        leaving: run.leaving,
-        slots: run.slots,
+        instance: current.identity.instance.clone(),
+        leaving: current.leaving,
+        slots: current.slots,
         limit: load.limit,
         running: load.running,
         queued: load.queued,
--- a/src/proxy/publishing.rs
+++ b/src/proxy/publishing.rs
@@ -1,4 +1,4 @@
-//! Carries out an operator's publication at the node that was asked.
+//! Stores a configuration that an operator publishes, at the node that received it.
 
 use crate::{
     coordination::publishing::{
@@ -13,17 +13,17 @@
 };
 use std::rc::Rc;
 
-/// Rounds of reading, deciding and storing. Each that fails means that another publication came
-/// first, or that the store lost an answer.
-const ROUNDS: u32 = 5;
+/// Attempts to read the newest configuration, check the publication against it and store it. An attempt fails if another
+/// publication was stored first, or if the store gave no answer or an error.
+const MAX_ATTEMPTS: u32 = 5;
 
-/// The newest record of the configuration, and where its topic ends.
-struct Newest {
+/// The newest published record, and the packed position at which its topic ends.
+struct NewestRecord {
     record: Option<PublishedRecord>,
     end: u64,
 }
 
-async fn read_newest<S: StateStore>(store: &S) -> Result<Newest, StoreError> {
+async fn read_newest<S: StateStore>(store: &S) -> Result<NewestRecord, StoreError> {
     let records = store.read_newest(StoreTopic::Configuration).await?;
     let mut newest_first = records.records.iter().rev();
     let newest = newest_first.find(|record| store.decode_evacuated_zone(record).is_none());
@@ -32,24 +32,24 @@
         .map(|value| serde_json::from_slice(value))
         .transpose()
         .map_err(|_| StoreError::Malformed("published record"))?;
-    Ok(Newest {
+    Ok(NewestRecord {
         record,
         end: records.next,
     })
 }
 
-/// Publishes, and puts what was accepted in force here; the store brings it to the other nodes.
+/// Stores a publication and puts it in force at this node. The other nodes receive it through the store.
 ///
-/// An answer of the store may be lost after the record was written, so after each failure the record is
-/// looked for by its id before it is stored again.
+/// An answer of the store may be lost after the record was written. So each attempt first looks for the publication by its id
+/// before it is stored again.
 pub async fn publish<S: PublicationStore>(
     core: &Rc<ProxyCore>,
     store: &S,
     request: &PublicationRequest,
 ) -> PublicationOutcome {
-    let mut unanswered = false;
+    let mut is_unanswered = false;
     let mut reason = String::new();
-    for _ in 0..ROUNDS {
+    for _ in 0..MAX_ATTEMPTS {
         let newest = match read_newest(store).await {
             Ok(newest) => newest,
             Err(error) => {
@@ -66,13 +66,13 @@
             Ok(ConditionalAppend::Stored) => return accept(core, &record, request),
             Ok(ConditionalAppend::Conflict) => {}
             Err(StoreError::NoAnswer) => {
-                unanswered = true;
+                is_unanswered = true;
                 reason = StoreError::NoAnswer.to_string();
             }
             Err(error) => reason = error.to_string(),
         }
     }
-    if unanswered {
+    if is_unanswered {
         PublicationOutcome::Unknown { reason }
     } else {
         PublicationOutcome::NotStored { reason }
@@ -105,7 +105,7 @@
     find_outcome(record, request.id).unwrap_or(accepted)
 }
 
-/// The publications that the store's newest record tells of.
+/// Reads the version in force and the latest publications, which the newest record in the store lists.
 ///
 /// # Errors
 /// If the store can't be read.
--- a/src/proxy/store_calls.rs
+++ b/src/proxy/store_calls.rs
@@ -1,42 +1,42 @@
-//! Counts the calls of a node to the store by what they ask and why. Each call is paid for, so it has to be seen which
-//! part of a node makes them.
+//! Counts the calls of a node to the store by kind and reason. Each call costs money, so the counts show which part of a node
+//! makes them.
 
 use std::{cell::RefCell, collections::BTreeMap};
 
-/// What is asked of the store.
+/// Kind of a call to the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum StoreCall {
-    /// The newest record of each key; one call a page of 500 records, counted once.
+    /// Reads the newest record of each key. That takes one call per page of 500 records, but is counted once.
     ReadNewest,
-    /// Records from an offset on.
+    /// Reads records from a position on.
     ReadFrom,
-    /// A record is appended.
+    /// Appends a record.
     Append,
-    /// A record is dropped.
+    /// Deletes the record of a node.
     Drop,
 }
 
-/// Why it is asked.
+/// Reason of a call to the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum CallReason {
-    /// The node has just started and knows nothing.
+    /// The node has just started and has no state.
     Start,
-    /// The node reads for its zone.
+    /// The node is a reader of its zone.
     Reading,
-    /// The node hears from readers, and makes sure that it misses nothing.
+    /// The node gets its state from the readers of its zone, and checks that it has missed nothing.
     GapCheck,
     /// The last call of this kind failed.
     Retry,
     /// The record of this node has changed.
     OwnRecord,
-    /// A request was put into quarantine or let go.
+    /// A request was put into quarantine or released from it.
     Quarantine,
-    /// A node is gone for good.
+    /// A node is permanently lost.
     Retirement,
 }
 
 impl StoreCall {
-    /// The word for metrics.
+    /// Value of the label `call` in metrics.
     #[must_use]
     pub const fn name(self) -> &'static str {
         match self {
@@ -49,7 +49,7 @@
 }
 
 impl CallReason {
-    /// The word for metrics.
+    /// Value of the label `reason` in metrics.
     #[must_use]
     pub const fn name(self) -> &'static str {
         match self {
@@ -64,7 +64,7 @@
     }
 }
 
-/// Calls since the start of the node.
+/// Number of calls since the start of the node, by kind and reason.
 #[derive(Debug, Default)]
 pub struct StoreCallCounts(RefCell<BTreeMap<(StoreCall, CallReason), u64>>);
 
@@ -74,7 +74,7 @@
         *self.0.borrow_mut().entry((call, reason)).or_default() += 1;
     }
 
-    /// All counts that aren't zero.
+    /// All counts that are not zero.
     #[must_use]
     pub fn list(&self) -> Vec<(StoreCall, CallReason, u64)> {
         let counts = self.0.borrow();
