--- a/src/proxy/events.rs
+++ b/src/proxy/events.rs
@@ -1,6 +1,6 @@
-//! The numbered events of a node: one line of its log each.
+//! The events of a node. Each event has a number and is written as one line of the log.
 //!
-//! `docs/EVENTS.md` has the catalogue; a test holds it to this file. A number never changes its meaning.
+//! `docs/EVENTS.md` lists all events, and a test compares it with this file. A number never changes its meaning.
 
 mod catalogue;
 mod lines;
@@ -18,20 +18,20 @@
 use serde::Serialize;
 use std::{net::SocketAddr, time::Duration};
 
-/// Whole milliseconds for an event.
+/// A duration in whole milliseconds, rounded down, as events hold it.
 #[must_use]
 pub fn in_millis(span: Duration) -> u64 {
     u64::try_from(span.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// How much an event matters when not all lines can be written.
+/// Severity of an event. It selects the log level, and the rate limit and sampling rate of the line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Severity {
-    /// A request that went as it should.
+    /// A request or attempt that ended normally.
     Ordinary,
-    /// A request that was answered late. On a day of high load there are many.
+    /// A request that was answered after its latency target. Under high load there are many.
     Late,
-    /// A failure, a refusal, or a change of what the node believes.
+    /// A failure, a refused request, or a change of the state of the node.
     Important,
 }
 
@@ -39,407 +39,407 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LoggedEnd {
-    /// The upstream answered with this status.
+    /// The upstream answered with this HTTP status.
     Answered(u16),
-    /// It did not run.
+    /// The request was refused and did not run.
     Refused(RefusalReason),
-    /// It may have run.
+    /// It is not known whether the request ran.
     Unknown(UnknownCause),
-    /// No route leads anywhere.
+    /// No route matches the request.
     NoRoute,
-    /// No answer came from the other node, and nothing was sent to it.
+    /// The attempt could not be sent to the other node.
     NotSent,
-    /// The client went away.
+    /// The client disconnected.
     ClientLeft,
-    /// The request ended while the attempt was under way.
+    /// The request ended while the attempt was still in progress.
     Abandoned,
 }
 
-/// One event. Times are in milliseconds.
+/// One event. Fields that end in `_ms` are times in milliseconds.
 #[derive(Clone, Debug, Serialize)]
 #[serde(untagged)]
 pub enum ProxyEvent {
-    /// A client's request ended at the node that took it.
+    /// The request of a client ended at the node that accepted it (entry node).
     RequestEnded {
-        /// Identity that the client gave it.
+        /// Request id that the client sent; empty if it sent none.
         request: String,
-        /// The same for every attempt at what it asks for.
+        /// Fingerprint of the request, the same for every attempt of it.
         digest: RequestFingerprint,
-        /// Its service.
+        /// Service of the request; none without a route.
         service: Option<ServiceName>,
-        /// Its class of work.
+        /// Class of the request; none without a route.
         class: Option<ClassName>,
-        /// Version of the routing table that decided.
+        /// Version of the routing table that the request was routed by.
         version: u64,
-        /// How it ended.
+        /// How the request ended.
         end: LoggedEnd,
-        /// Nodes asked, those that refused included.
+        /// Nodes that were asked, including those that refused.
         asked: u32,
-        /// Attempts that reached an upstream or may have.
+        /// Attempts that reached an upstream or may have reached one.
         arrivals: u16,
-        /// Time since it came.
+        /// Time since the request arrived.
         took_ms: u64,
-        /// Time that its client gave it.
+        /// Time that the client allowed for the request.
         time_left_ms: u64,
-        /// Time within which it was to be answered.
+        /// Latency target of the request.
         target_ms: u64,
-        /// Soonest end that a node told which had no slot in time; 0 if none did.
+        /// Earliest finish time that a node without a free slot reported; 0 if none did.
         soonest_ms: u64,
     },
-    /// An entry node learned how one attempt ended.
+    /// An attempt ended, as seen by the entry node.
     AttemptReturned {
-        /// Identity of the request.
+        /// Id of the request.
         request: String,
-        /// The node asked.
+        /// Node that was asked.
         to: SocketAddr,
-        /// When it was sent, since the request came.
+        /// Time from the arrival of the request until the attempt was sent.
         sent_ms: u64,
-        /// Time within which it was to end there; 0 asks for a slot at once or none.
+        /// Time within which the attempt was to end at that node; 0 asks for a slot that is free at once.
         within_ms: u64,
-        /// Age of what was known of the node's load.
+        /// Age of the last known load of that node; none if its load is not known.
         known_age_ms: Option<u64>,
-        /// How it ended.
+        /// How the attempt ended.
         end: LoggedEnd,
-        /// Time in which it would have ended, after a refusal for lack of slots.
+        /// After a refusal for lack of slots, the time in which the attempt would have ended.
         finish_ms: u64,
-        /// Time that it waited for a slot, if it was not refused.
+        /// Time that the attempt waited for a slot; 0 if it was refused.
         waited_ms: u64,
-        /// Pace of the VM at its end, in percent of the usual time; 0 if no answer came.
+        /// Time that work took on the VM when the attempt ended, in percent of the usual; 0 if no answer came.
         pace_percent: u16,
-        /// Time since it was sent.
+        /// Time since the attempt was sent.
         took_ms: u64,
     },
-    /// The node beside an upstream decided on an attempt and saw its end.
+    /// An attempt ended, as seen by the node of the upstream.
     AttemptExecuted {
-        /// Identity of the request.
+        /// Id of the request.
         request: String,
-        /// The same for every attempt at what it asks for.
+        /// Fingerprint of the request, the same for every attempt of it.
         digest: RequestFingerprint,
-        /// The node that asked.
+        /// Entry node that sent the attempt.
         from: SocketAddr,
-        /// Its class of work.
+        /// Class of the request.
         class: ClassName,
-        /// The upstream's run.
+        /// Identity of the upstream's incarnation; none if it is not known.
         instance: Option<String>,
-        /// How it ended.
+        /// How the attempt ended.
         end: LoggedEnd,
-        /// Requests at the upstream when it came.
+        /// Requests at the upstream when the attempt arrived.
         running: u16,
-        /// Requests that waited when it came.
+        /// Requests that waited for a slot when the attempt arrived.
         queued: u16,
-        /// Requests let run at once.
+        /// Requests that the node lets the upstream run at once.
         limit: u16,
-        /// Pace of the VM when it was decided, in percent of the usual time.
+        /// Time that work took on the VM when the attempt was admitted or refused, in percent of the usual.
         pace_percent: u16,
-        /// Age of that.
+        /// Age of that value; none if the value is not known.
         pace_age_ms: Option<u64>,
-        /// Time that it was expected to take.
+        /// Time that the attempt was expected to take.
         expected_ms: u64,
-        /// Time that it waited.
+        /// Time that the attempt waited for a slot.
         waited_ms: u64,
-        /// Time since it came.
+        /// Time since the attempt arrived.
         took_ms: u64,
     },
-    /// A second attempt is not made for lack of budget.
+    /// A retry was suppressed because the retry budget of the service was exhausted.
     RetrySuppressed {
-        /// Identity of the request.
+        /// Id of the request.
         request: String,
-        /// Its service.
+        /// Service of the request.
         service: ServiceName,
     },
-    /// Lines were left out to keep to the budget.
+    /// Log lines were dropped because of the rate limit. Ordinary lines are not counted.
     LinesDropped {
-        /// How many.
+        /// Number of dropped lines since the last line.
         lines: u64,
     },
-    /// The upstream beside the node told another state.
+    /// The local upstream announced a changed state.
     UpstreamAnnounced {
-        /// Its run.
+        /// Identity of the upstream's incarnation.
         instance: String,
-        /// Number of the announcement.
+        /// Sequence number of the announcement.
         sequence: u64,
-        /// It takes no new work.
+        /// Whether the upstream is leaving and takes no new requests.
         leaving: bool,
     },
-    /// The upstream beside the node is cold.
+    /// The local upstream is warming up (slow start).
     UpstreamWarmingUp {
-        /// How much longer.
+        /// Time until the end of the warm-up.
         left_ms: u64,
-        /// Most requests that it is given within a second meanwhile.
+        /// Largest number of requests that the upstream is given per second until then.
         limit: usize,
     },
-    /// The upstream beside the node leaves for good.
+    /// The local upstream has announced that it leaves for good.
     UpstreamDeparted {
-        /// Its run.
+        /// Identity of the upstream's incarnation.
         instance: String,
     },
-    /// Another run answered in place of the one that was known.
+    /// Another incarnation than the known one answered at the local upstream.
     UpstreamReplaced {
-        /// The run that was known.
+        /// Identity of the incarnation that was known before.
         instance: String,
     },
-    /// The upstream beside the node ended while it ran a request.
+    /// The local upstream crashed while it ran a request.
     UpstreamCrashed {
-        /// Its run.
+        /// Identity of the upstream's incarnation.
         instance: String,
-        /// Identity of the request.
+        /// Id of the request.
         request: String,
-        /// What it asks for.
+        /// Fingerprint of the request.
         digest: RequestFingerprint,
-        /// The same run had answered such a request before, so that this one is no suspect.
+        /// Whether the same incarnation had answered a request with this fingerprint before. Such a request is not suspected.
         answered_before: bool,
     },
-    /// A crash was told to this node, which counts those under that request.
+    /// A crash was reported to this node, which counts the crashes of that request.
     CrashCounted {
-        /// What the request asks for.
+        /// Fingerprint of the request.
         digest: RequestFingerprint,
-        /// The run that crashed.
+        /// Identity of the incarnation that crashed.
         instance: String,
-        /// Crashed runs so far.
+        /// Number of incarnations that have crashed while running the request.
         crashes: usize,
     },
-    /// A request is kept from upstreams from now on.
+    /// A request was put into quarantine: it is no longer sent to upstreams.
     RequestQuarantined {
-        /// What it asks for.
+        /// Fingerprint of the request.
         digest: RequestFingerprint,
-        /// Who found out.
+        /// Where the finding came from.
         source: &'static str,
     },
-    /// A request is let to upstreams again, since one has answered it.
+    /// A request was released from quarantine because an upstream has answered it.
     QuarantineLifted {
-        /// What it asks for.
+        /// Fingerprint of the request.
         digest: RequestFingerprint,
     },
-    /// After a restart the upstream is known from the store.
+    /// After a restart of the node, its upstream was restored from the record in the store.
     UpstreamRestored {
-        /// Its run.
+        /// Identity of the upstream's incarnation.
         instance: String,
     },
-    /// An announcement could not be understood.
+    /// An announcement could not be decoded.
     AnnouncementRejected {
-        /// What is wrong.
+        /// Description of the error.
         error: String,
-        /// Target of the call.
+        /// Request target of the call.
         target: String,
     },
-    /// Nothing is sent to the upstreams of an availability zone from now on.
+    /// An availability zone was evacuated: its upstreams get no more requests.
     ZoneEvacuated {
         /// The zone.
         zone: AvailabilityZoneName,
-        /// Position in the store's topic as of which this holds.
+        /// Packed position in the configuration topic up to which evacuations are applied.
         position: u64,
-        /// Where it came from.
+        /// Where the change came from.
         source: &'static str,
     },
-    /// Requests are sent to the upstreams of an evacuated availability zone again.
+    /// The evacuation of an availability zone ended: its upstreams get requests again.
     ZoneRestored {
         /// The zone.
         zone: AvailabilityZoneName,
-        /// Position in the store's topic as of which this holds.
+        /// Packed position in the configuration topic up to which evacuations are applied.
         position: u64,
-        /// Where it came from.
+        /// Where the change came from.
         source: &'static str,
     },
-    /// A newer routing table is in force.
+    /// A newer routing table came into force.
     TableInForce {
         /// Its version.
         version: u64,
-        /// The version before.
+        /// Version that was in force before; 0 if none was.
         before: u64,
-        /// Its routes.
+        /// Number of its routes.
         routes: usize,
-        /// Where it came from.
+        /// Where the table came from.
         source: &'static str,
     },
-    /// Another node told of a higher version, and is asked for what is newer.
+    /// Another node reported a higher version, so the changes are fetched from it.
     StateFetched {
-        /// The node.
+        /// The other node.
         from: SocketAddr,
-        /// The version it told.
+        /// Version that it reported.
         version: u64,
-        /// The version in force here.
+        /// Version in force here.
         before: u64,
     },
-    /// Nodes of the zone that are not known to have the routing table in force are offered it.
+    /// The routing table in force was offered to nodes of the zone that are not known to have it.
     TableOffered {
         /// Version in force.
         version: u64,
-        /// Nodes that it reaches along the tree.
+        /// Number of nodes that the offer goes to along the tree.
         along_tree: usize,
-        /// Nodes that are told directly.
+        /// Number of nodes that the offer was sent to directly.
         directly: usize,
     },
-    /// Another node asked for what is newer and is told.
+    /// Another node fetched changes of the routing table from this node.
     TableSent {
-        /// The node, if it said where it is.
+        /// Address of the other node; none if it did not state it.
         to: Option<SocketAddr>,
-        /// Version that it has.
+        /// Version that the other node has.
         before: u64,
-        /// Version that it is told.
+        /// Version that was sent.
         version: u64,
-        /// Bytes of the message.
+        /// Size of the message in bytes.
         bytes: usize,
     },
-    /// A node told what turns the routing table in force into a newer one.
+    /// Another node sent changes of the routing table or a whole table.
     TableReceived {
-        /// The node.
+        /// The other node.
         from: SocketAddr,
-        /// Version that it changes; 0 if it is a whole table.
+        /// Version that the changes apply to; 0 for a whole table.
         base: u64,
-        /// Version that comes of it.
+        /// Version that results.
         version: u64,
-        /// Bytes of the message.
+        /// Size of the message in bytes.
         bytes: usize,
-        /// Whether it was newer than the one in force.
+        /// Whether the version was newer than the one in force.
         news: bool,
-        /// Time since the node was asked.
+        /// Time since the request was sent to the other node.
         took_ms: u64,
     },
-    /// What a node told could not be applied; the whole table is asked for.
+    /// Changes of the routing table from another node could not be applied. They are fetched once more.
     ChangeRejected {
-        /// The node.
+        /// The other node.
         from: SocketAddr,
-        /// What is wrong.
+        /// Description of the error.
         error: String,
     },
-    /// A node that was asked for what is newer did not answer with it.
+    /// Another node did not answer a request for changes of the routing table.
     FetchFailed {
-        /// The node.
+        /// The other node.
         from: SocketAddr,
-        /// Time since it was asked.
+        /// Time since the request was sent to the other node.
         took_ms: u64,
     },
-    /// The zone is told what was read from the store.
+    /// Records read from the store were sent to the nodes of the zone.
     ZoneNotified {
-        /// Nodes told.
+        /// Number of nodes.
         nodes: usize,
-        /// Records of nodes among it.
+        /// Number of records of nodes.
         records: usize,
     },
-    /// A message with state could not be understood.
+    /// A state message could not be decoded.
     StateRejected {
-        /// What is wrong.
+        /// Description of the error.
         error: String,
     },
-    /// Other nodes of the zone are asked to read the store, since this one can't.
+    /// Other nodes of the zone were asked to read the store, since this one can't.
     ReadingHandedOver {
-        /// Nodes asked.
+        /// Number of nodes that were asked.
         nodes: usize,
     },
     /// Another node could not be reached.
     NodeUnreachable {
-        /// The node.
+        /// The other node.
         to: SocketAddr,
-        /// Failures in a row.
+        /// Number of consecutive failures.
         failures: u32,
-        /// Pause until it is asked again.
+        /// Pause before the next request to it.
         pause_ms: u64,
     },
-    /// A record of a node is news.
+    /// A new or changed record of a node was applied.
     NodeKnown {
-        /// The node.
+        /// Name of the node.
         known: NodeName,
-        /// Where it takes messages from nodes.
+        /// Address at which it accepts messages of nodes.
         address: SocketAddr,
         /// Service of its upstream.
         service: ServiceName,
-        /// The upstream's run.
+        /// Identity of the upstream's incarnation.
         instance: String,
-        /// It takes no new work.
+        /// Whether the upstream is leaving and takes no new requests.
         leaving: bool,
-        /// Place in the order of the store.
+        /// Place of the record in the order of the store; 0 if the store does not hold it yet.
         revision: u64,
     },
-    /// The record of a node was dropped from the store: it is gone.
+    /// This node deleted the record of a permanently lost node from the store.
     NodeRetired {
-        /// The node.
+        /// Name of the lost node.
         known: NodeName,
-        /// Where it took messages from nodes.
+        /// Address at which it accepted messages of nodes.
         address: SocketAddr,
-        /// Its upstream's last run.
+        /// Identity of the last incarnation of its upstream.
         instance: String,
     },
-    /// The store holds no record of a node any more; it is forgotten here.
+    /// A node was removed here, since the store no longer holds a record of it.
     NodeForgotten {
-        /// The node.
+        /// Name of the node.
         known: NodeName,
-        /// Where it took messages from nodes.
+        /// Address at which it accepted messages of nodes.
         address: SocketAddr,
     },
-    /// The store lost this node's own record; it is written again.
+    /// The store has deleted or lost the record of this node. It is written again.
     OwnRecordDropped {},
-    /// A configuration in the store could not be understood; the one in force stays.
+    /// A configuration in the store could not be decoded. The one in force stays.
     ConfigurationRejected {
-        /// What is wrong.
+        /// Description of the error.
         error: String,
     },
-    /// A record in the store could not be understood.
+    /// A record in the store could not be decoded.
     RecordRejected {
-        /// Its key.
+        /// Key of the record.
         key: String,
-        /// What is wrong.
+        /// Description of the error.
         error: String,
     },
     /// An operator's publication ended.
     PublicationEnded {
-        /// Who published.
+        /// Author of the publication.
         author: String,
         /// How it ended.
         #[serde(flatten)]
         outcome: PublicationOutcome,
     },
-    /// A request without a valid token was turned away.
+    /// A request of an operator's tool was rejected, since it had no valid token.
     OperatorRejected {},
     /// The store stopped answering.
     StoreLost {
-        /// What was asked of it.
+        /// What was read or written.
         what: &'static str,
-        /// What came.
+        /// Error of the call.
         error: String,
     },
     /// The store answers again.
     StoreRegained {
-        /// What was asked of it.
+        /// What was read or written.
         what: &'static str,
-        /// Failures in a row before.
+        /// Number of consecutive failures before.
         failures: u32,
     },
-    /// The store has come back from a copy: what was written since the copy is lost.
+    /// The store was restored from a copy and has lost what was written after the copy was made.
     StoreRestored {
-        /// The topic in which it was noticed.
+        /// Topic in which this was noticed.
         what: &'static str,
-        /// The era that it tells.
+        /// Epoch that the store reports now.
         era: u64,
-        /// The one known before.
+        /// Epoch that was known before.
         before: u64,
     },
-    /// The process began to serve.
+    /// The node began to serve.
     NodeStarted {
-        /// Where it takes messages from nodes.
+        /// Address at which it accepts messages of nodes.
         address: SocketAddr,
-        /// Service of the upstream beside it.
+        /// Service of its upstream.
         service: ServiceName,
     },
-    /// The process was told to stop.
+    /// The node was asked to stop.
     StopRequested {
         /// Requests of clients in progress.
         in_progress: usize,
         /// Requests at the upstream.
         running: u16,
     },
-    /// The process ends.
+    /// The node stopped.
     NodeStopped {
-        /// Requests of clients cut off.
+        /// Requests of clients that were aborted.
         in_progress: usize,
-        /// Time since it was told.
+        /// Time since it was asked to stop.
         took_ms: u64,
     },
-    /// The settings were read again.
+    /// The settings file was read again.
     SettingsRead {
-        /// Whether anything differs from what is in force; it takes effect at the next start.
+        /// Whether a setting differs from those in force. Such a change takes effect at the next start.
         changed: bool,
     },
-    /// The settings can't be used; those in force stay.
+    /// The settings file has errors. The settings in force stay.
     SettingsRejected {
         /// All findings.
         findings: String,
--- a/src/proxy/events/catalogue.rs
+++ b/src/proxy/events/catalogue.rs
@@ -1,4 +1,4 @@
-//! Number, name and weight of each event.
+//! Number, name and severity of each event.
 
 use crate::{
     protocol::outcome::RefusalReason,
@@ -6,7 +6,7 @@
 };
 
 impl ProxyEvent {
-    /// Number and name.
+    /// Number and printed name of the event.
     #[must_use]
     pub const fn describe(&self) -> (u16, &'static str) {
         match self {
@@ -57,7 +57,7 @@
         }
     }
 
-    /// How much it matters.
+    /// Severity of the event.
     #[must_use]
     pub const fn severity(&self) -> Severity {
         match self {
@@ -73,7 +73,7 @@
         }
     }
 
-    /// After a question for a slot that was refused for lack of one, the end told instead.
+    /// Finish time in milliseconds that a node reported with a refusal for lack of a slot; none for any other event.
     #[must_use]
     pub const fn refused_finish(&self) -> Option<u64> {
         match self {
@@ -86,7 +86,7 @@
         }
     }
 
-    /// The request that it is about.
+    /// Id of the request that the event is about, if it is about one.
     #[must_use]
     pub fn request(&self) -> Option<&str> {
         match self {
@@ -101,8 +101,8 @@
 }
 
 impl LoggedEnd {
-    /// How much the end tells. A refusal for lack of slots is how nodes look for a free one: nothing
-    /// failed yet.
+    /// Severity of the end of an attempt. A refusal for lack of slots is ordinary: the entry node tries further nodes, so the
+    /// request has not failed yet.
     #[must_use]
     pub const fn severity(&self) -> Severity {
         match self {
@@ -112,7 +112,7 @@
         }
     }
 
-    /// The same for the end of a whole request: a refusal ends it unserved, whatever the reason.
+    /// Severity of the end of a whole request. Any refusal is important, since the request was not served.
     #[must_use]
     pub const fn severity_of_request(&self, late: bool) -> Severity {
         match self {
--- a/src/proxy/events/lines.rs
+++ b/src/proxy/events/lines.rs
@@ -1,7 +1,7 @@
-//! Writes the lines of a node, within bounds.
+//! Writes the log lines of a node, sampled and rate limited.
 //!
-//! A node that logs each of many failures would spend its share of the processor on lines, and be late
-//! with requests just when most fail.
+//! A node that logged each of many failures would spend much of its CPU time on log lines, and would answer requests late
+//! while most requests fail.
 
 use crate::{
     options::proxy_settings::LineRules,
@@ -20,59 +20,60 @@
     time::{FormatTime, SystemTime},
 };
 
-/// Important lines a second, and how many may come at once. A line costs some 45 microseconds with its write; so
-/// many are under a thousandth of a core.
-const TELLING: (f64, f64) = (15.0, 150.0);
-/// The same of ordinary ones: a sample, since a line costs a fifth of what a node spends on a request.
-const ORDINARY: (f64, f64) = (5.0, 20.0);
+/// Rate limit of important and late lines: lines per second and burst. Writing a line takes some 45 microseconds, so this rate
+/// takes less than a thousandth of a core.
+const IMPORTANT_LINE_RATE: (f64, f64) = (15.0, 150.0);
+/// Rate limit of ordinary lines: lines per second and burst. Only a sample is written, since a line takes a fifth of the CPU time
+/// that a node spends on a request.
+const ORDINARY_LINE_RATE: (f64, f64) = (5.0, 20.0);
 
-/// A line that goes out, with what every line has.
+/// An event with the fields that every log line has.
 #[derive(Serialize)]
 struct Line<'a> {
     node: &'a NodeName,
-    /// Rises by one with each line of the process.
+    /// Sequence number; increases by one with each line of the process.
     seq: u64,
-    /// Time since the start by the steady clock, in milliseconds: the time of day may jump.
+    /// Time since the start in milliseconds, by the monotonic clock, since the time of day may jump.
     up_ms: u64,
     #[serde(flatten)]
     event: &'a ProxyEvent,
 }
 
-/// Counts lines and leaves out those that the bounds do not hold.
+/// Writes log lines, and drops those beyond the rate limits and the sampling rate.
 pub struct LineWriter {
     node: NodeName,
     started: Timestamp,
     rules: LineRules,
-    next: Cell<u64>,
-    telling: RefCell<RateLimit>,
+    next_seq: Cell<u64>,
+    important: RefCell<RateLimit>,
     ordinary: RefCell<RateLimit>,
     dropped: Cell<u64>,
-    kept: RefCell<VecDeque<(u64, String)>>,
+    kept_lines: RefCell<VecDeque<(u64, String)>>,
 }
 
 impl LineWriter {
-    /// A writer of the lines of a node that starts now.
+    /// Creates the writer of a node that starts at `started`.
     #[must_use]
     pub fn new(node: NodeName, rules: LineRules, started: Timestamp) -> Self {
         Self {
             node,
             started,
             rules,
-            next: Cell::new(1),
-            telling: RefCell::new(RateLimit::new(TELLING.0, TELLING.1)),
-            ordinary: RefCell::new(RateLimit::new(ORDINARY.0, ORDINARY.1)),
+            next_seq: Cell::new(1),
+            important: RefCell::new(RateLimit::new(IMPORTANT_LINE_RATE.0, IMPORTANT_LINE_RATE.1)),
+            ordinary: RefCell::new(RateLimit::new(ORDINARY_LINE_RATE.0, ORDINARY_LINE_RATE.1)),
             dropped: Cell::default(),
-            kept: RefCell::default(),
+            kept_lines: RefCell::default(),
         }
     }
 
-    /// Writes a line if the bounds hold it.
+    /// Writes a line unless it is not sampled or exceeds the rate limit.
     pub fn write(&self, event: &ProxyEvent, now: Timestamp) {
         self.write_with_severity(event.severity(), event, now);
     }
 
-    /// Writes a line with another weight than its own: what led to a failure tells as much as the
-    /// failure. Important lines left out are counted, and told with the next one.
+    /// Writes a line with another severity than that of the event: the attempts of a failed request are as important as its
+    /// failure. Dropped lines other than ordinary ones are counted, and the count is written before the next line.
     pub fn write_with_severity(&self, severity: Severity, event: &ProxyEvent, now: Timestamp) {
         if !self.is_sampled(severity, event) {
             return;
@@ -94,10 +95,10 @@
         self.emit(severity, event, now);
     }
 
-    /// Takes one line out of the bounds, if they hold it.
+    /// Counts one line against the rate limit of its severity. Returns whether it may be written.
     pub fn admit(&self, severity: Severity, now: Timestamp) -> bool {
         match severity {
-            Severity::Important | Severity::Late => self.telling.borrow_mut().try_acquire(now),
+            Severity::Important | Severity::Late => self.important.borrow_mut().try_acquire(now),
             Severity::Ordinary => self.ordinary.borrow_mut().try_acquire(now),
         }
     }
@@ -115,28 +116,30 @@
         })
     }
 
-    /// Kept lines from a number on, and the number to ask for next.
+    /// The kept lines from a sequence number on, and the number of the next line.
     #[must_use]
     pub fn list_kept(&self, from: u64) -> (Vec<String>, u64) {
-        let kept = self.kept.borrow();
-        let newer = kept.iter().filter(|(number, _)| *number >= from);
+        let kept_lines = self.kept_lines.borrow();
+        let selected = kept_lines.iter().filter(|(number, _)| *number >= from);
         (
-            newer.map(|(_, line)| line.clone()).collect(),
-            self.next.get(),
+            selected.map(|(_, line)| line.clone()).collect(),
+            self.next_seq.get(),
         )
     }
 
-    /// The number of the oldest kept line, or of the next line if none is kept.
+    /// Sequence number of the oldest kept line, or of the next line if none is kept.
     #[must_use]
     pub fn oldest_kept(&self) -> u64 {
-        let kept = self.kept.borrow();
-        kept.front().map_or(self.next.get(), |(number, _)| *number)
+        let kept_lines = self.kept_lines.borrow();
+        kept_lines
+            .front()
+            .map_or(self.next_seq.get(), |(number, _)| *number)
     }
 
     fn emit(&self, severity: Severity, event: &ProxyEvent, now: Timestamp) {
         let (number, name) = event.describe();
-        let seq = self.next.get();
-        self.next.set(seq + 1);
+        let seq = self.next_seq.get();
+        self.next_seq.set(seq + 1);
         let line = Line {
             node: &self.node,
             seq,
@@ -159,7 +162,7 @@
         }
     }
 
-    /// Keeps a line as it stands on standard output.
+    /// Keeps a line for operators' tools, in the form in which it is written to standard output.
     fn keep(&self, seq: u64, level: Level, (number, name): (u16, &str), fields: &str) {
         if self.rules.kept == 0 {
             return;
@@ -171,15 +174,16 @@
         let line = format!(
             "{{\"time\":\"{time}\",\"level\":\"{level}\",\"event\":{number},\"name\":\"{name}\",{members}"
         );
-        let mut kept = self.kept.borrow_mut();
-        if kept.len() >= self.rules.kept {
-            kept.pop_front();
+        let mut kept_lines = self.kept_lines.borrow_mut();
+        if kept_lines.len() >= self.rules.kept {
+            kept_lines.pop_front();
         }
-        kept.push_back((seq, line));
+        kept_lines.push_back((seq, line));
     }
 }
 
-/// The request that a call was made for bears the first part of its identity: both are told of, or neither.
+/// Id of the client's request from which a call between services comes: the part of the id before the first dot. Both are
+/// sampled alike, so both are logged or neither.
 fn find_root(request: &str) -> &str {
     request.split('.').next().unwrap_or(request)
 }
