--- a/src/proxy/evacuating.rs
+++ b/src/proxy/evacuating.rs
@@ -90,7 +90,7 @@
     read: EvacuationRead,
 ) {
     let before = core.evacuations.evacuations.borrow().clone();
-    let after = before.after(changes, next, read);
+    let after = before.with_changes(changes, next, read);
     replace_evacuations(core, &before, after, StateSource::Store);
 }
 
@@ -98,7 +98,7 @@
 pub fn apply_peer_evacuations(core: &Rc<ProxyCore>, reported: &Evacuations) {
     let before = core.evacuations.evacuations.borrow().clone();
     let mut after = before.clone();
-    if after.replace_by(reported) {
+    if after.replace_if_newer(reported) {
         replace_evacuations(core, &before, after, StateSource::Peer);
     }
 }
--- a/src/proxy/store_sync/configuration.rs
+++ b/src/proxy/store_sync/configuration.rs
@@ -39,9 +39,9 @@
         // Evacuations are applied before tables, so that no request is sent on new routes to a zone that was evacuated earlier.
         let changes = self.decode_evacuations(records);
         let evacuation_read = match read {
-            TopicRead::Incremental => EvacuationRead::Continued,
-            TopicRead::Full | TopicRead::FirstAfterRestore => EvacuationRead::All,
-            TopicRead::AfterRewrites => EvacuationRead::AllWrittenAgain,
+            TopicRead::Incremental => EvacuationRead::Incremental,
+            TopicRead::Full | TopicRead::FirstAfterRestore => EvacuationRead::Full,
+            TopicRead::AfterRewrites => EvacuationRead::AfterRewrites,
         };
         apply_stored_evacuations(core, &changes, records.next, evacuation_read);
         for record in &records.records {
--- a/src/state/evacuations.rs
+++ b/src/state/evacuations.rs
@@ -19,11 +19,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EvacuationRead {
     /// Those from the known position on.
-    Continued,
+    Incremental,
     /// The newest of all keys.
-    All,
+    Full,
     /// The newest of all keys, once the operator has written again what the store lost when it came back from a copy.
-    AllWrittenAgain,
+    AfterRewrites,
 }
 
 /// The evacuated zones as of one position in the topic of the configuration.
@@ -41,11 +41,19 @@
     changed_at: u64,
     zones: BTreeSet<AvailabilityZoneName>,
     /// Places of the records by which zones were taken back.
-    #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
-    taken_back: BTreeMap<AvailabilityZoneName, u64>,
+    #[serde(
+        rename = "taken_back",
+        default,
+        skip_serializing_if = "BTreeMap::is_empty"
+    )]
+    restored_at: BTreeMap<AvailabilityZoneName, u64>,
     /// Whether the store came back from a copy, and may lack what is known here.
-    #[serde(default, skip_serializing_if = "std::ops::Not::not")]
-    is_ahead_of_copy: bool,
+    #[serde(
+        rename = "is_ahead_of_copy",
+        default,
+        skip_serializing_if = "std::ops::Not::not"
+    )]
+    is_ahead_of_restored_store: bool,
 }
 
 impl Evacuations {
@@ -77,16 +85,23 @@
     /// The state after applying the records up to `next`. Where all keys were read, a zone without a record is not evacuated, unless
     /// the store may lack what is known here.
     #[must_use]
-    pub fn after(&self, changes: &[EvacuationChange], next: u64, read: EvacuationRead) -> Self {
-        let is_over = read == EvacuationRead::Continued && next == self.position;
+    pub fn with_changes(
+        &self,
+        changes: &[EvacuationChange],
+        next: u64,
+        read: EvacuationRead,
+    ) -> Self {
+        let is_over = read == EvacuationRead::Incremental && next == self.position;
         if next < self.position || is_over {
             return self.clone();
         }
         let has_returned = StorePosition::is_of_earlier_epoch(self.position, next);
         let mut after = match read {
-            EvacuationRead::Continued => self.apply_changes(changes),
-            EvacuationRead::All if has_returned || self.is_ahead_of_copy => self.join_copy(changes),
-            EvacuationRead::All | EvacuationRead::AllWrittenAgain => {
+            EvacuationRead::Incremental => self.apply_changes(changes),
+            EvacuationRead::Full if has_returned || self.is_ahead_of_restored_store => {
+                self.join_copy(changes)
+            }
+            EvacuationRead::Full | EvacuationRead::AfterRewrites => {
                 self.replace_zones(changes, next)
             }
         };
@@ -98,7 +113,7 @@
     }
 
     /// Replaces this state by that of another node if that one is later. True if it was.
-    pub fn replace_by(&mut self, told: &Self) -> bool {
+    pub fn replace_if_newer(&mut self, told: &Self) -> bool {
         let is_later = (told.position, told.changed_at) > (self.position, self.changed_at);
         if is_later {
             self.clone_from(told);
@@ -110,10 +125,10 @@
     fn join_copy(&self, changes: &[EvacuationChange]) -> Self {
         let offset_of = |position| StorePosition::unpack(position).offset;
         let mut after = self.clone();
-        after.is_ahead_of_copy = true;
+        after.is_ahead_of_restored_store = true;
         for change in changes.iter().filter(|change| change.evacuated) {
-            let taken_back = self.taken_back.get(&change.zone);
-            if taken_back.is_none_or(|end| offset_of(*end) < offset_of(change.position)) {
+            let restored_at = self.restored_at.get(&change.zone);
+            if restored_at.is_none_or(|end| offset_of(*end) < offset_of(change.position)) {
                 after.zones.insert(change.zone.clone());
             }
         }
@@ -124,11 +139,11 @@
         let evacuated = changes.iter().filter(|change| change.evacuated);
         let mut after = Self {
             zones: evacuated.map(|change| change.zone.clone()).collect(),
-            is_ahead_of_copy: false,
+            is_ahead_of_restored_store: false,
             ..self.clone()
         };
         for zone in self.zones.difference(&after.zones) {
-            after.taken_back.insert(zone.clone(), next);
+            after.restored_at.insert(zone.clone(), next);
         }
         after
     }
@@ -144,7 +159,7 @@
             } else {
                 after.zones.remove(&change.zone);
                 let zone = change.zone.clone();
-                after.taken_back.insert(zone, change.position);
+                after.restored_at.insert(zone, change.position);
             }
         }
         after
--- a/tests/integration/evacuations.rs
+++ b/tests/integration/evacuations.rs
@@ -23,10 +23,10 @@
 #[test]
 fn after_two_zones_at_once() {
     let both = [change("a", true, 3), change("b", true, 4)];
-    let known = Evacuations::default().after(&both, 5, EvacuationRead::Continued);
+    let known = Evacuations::default().with_changes(&both, 5, EvacuationRead::Incremental);
     assert_eq!(list(&known), ["a", "b"]);
     assert_eq!((known.position(), known.changed_at()), (5, 5));
-    let known = known.after(&[change("a", false, 6)], 7, EvacuationRead::Continued);
+    let known = known.with_changes(&[change("a", false, 6)], 7, EvacuationRead::Incremental);
     assert_eq!(list(&known), ["b"]);
 }
 
@@ -35,13 +35,16 @@
 fn after_records_read_again() {
     let begun = [change("a", true, 3)];
     let over = Evacuations::default()
-        .after(&begun, 4, EvacuationRead::Continued)
-        .after(&[change("a", false, 5)], 6, EvacuationRead::Continued);
+        .with_changes(&begun, 4, EvacuationRead::Incremental)
+        .with_changes(&[change("a", false, 5)], 6, EvacuationRead::Incremental);
     assert!(list(&over).is_empty());
-    assert_eq!(over.after(&begun, 4, EvacuationRead::Continued), over);
+    assert_eq!(
+        over.with_changes(&begun, 4, EvacuationRead::Incremental),
+        over
+    );
     let read_on = [change("a", true, 3), change("b", true, 6)];
     assert_eq!(
-        list(&over.after(&read_on, 7, EvacuationRead::Continued)),
+        list(&over.with_changes(&read_on, 7, EvacuationRead::Incremental)),
         ["b"]
     );
 }
@@ -49,27 +52,39 @@
 /// Failure: an evacuation lives on at a node that was away when its record was deleted.
 #[test]
 fn after_all_records_were_read() {
-    let known = Evacuations::default().after(&[change("a", true, 3)], 4, EvacuationRead::Continued);
-    let known = known.after(&[change("b", true, 8)], 12, EvacuationRead::All);
+    let known = Evacuations::default().with_changes(
+        &[change("a", true, 3)],
+        4,
+        EvacuationRead::Incremental,
+    );
+    let known = known.with_changes(&[change("b", true, 8)], 12, EvacuationRead::Full);
     assert_eq!(list(&known), ["b"]);
 }
 
 /// Failure: a node that was away brings an evacuation back to others.
 #[test]
 fn replace_by_older() {
-    let away = Evacuations::default().after(&[change("a", true, 3)], 4, EvacuationRead::Continued);
-    let mut known = away.after(&[change("a", false, 5)], 6, EvacuationRead::Continued);
-    assert!(!known.replace_by(&away));
+    let away = Evacuations::default().with_changes(
+        &[change("a", true, 3)],
+        4,
+        EvacuationRead::Incremental,
+    );
+    let mut known = away.with_changes(&[change("a", false, 5)], 6, EvacuationRead::Incremental);
+    assert!(!known.replace_if_newer(&away));
     assert!(list(&known).is_empty());
     let mut away = away;
-    assert!(away.replace_by(&known));
+    assert!(away.replace_if_newer(&known));
     assert_eq!(away, known);
 }
 
 #[test]
 fn changed_at_stays_while_no_zone_changes() {
-    let known = Evacuations::default().after(&[change("a", true, 3)], 4, EvacuationRead::Continued);
-    let known = known.after(&[], 9, EvacuationRead::Continued);
+    let known = Evacuations::default().with_changes(
+        &[change("a", true, 3)],
+        4,
+        EvacuationRead::Incremental,
+    );
+    let known = known.with_changes(&[], 9, EvacuationRead::Incremental);
     assert_eq!((known.position(), known.changed_at()), (9, 4));
 }
 
@@ -86,22 +101,22 @@
         change("b", true, 4),
         change("b", false, 6),
     ];
-    let known = Evacuations::default().after(&changes, 7, EvacuationRead::Continued);
+    let known = Evacuations::default().with_changes(&changes, 7, EvacuationRead::Incremental);
     // The copy lacks the first evacuation and the end of the second.
-    let returned = known.after(
+    let returned = known.with_changes(
         &[change("b", true, later(4))],
         later(5),
-        EvacuationRead::All,
+        EvacuationRead::Full,
     );
     assert_eq!(list(&returned), ["a"]);
     assert_eq!(returned.position(), later(5));
     let written = [change("a", true, later(5)), change("b", false, later(6))];
-    let written = returned.after(&written, later(7), EvacuationRead::Continued);
+    let written = returned.with_changes(&written, later(7), EvacuationRead::Incremental);
     assert_eq!(list(&written), ["a"]);
-    let over = written.after(
+    let over = written.with_changes(
         &[change("a", false, later(7))],
         later(8),
-        EvacuationRead::Continued,
+        EvacuationRead::Incremental,
     );
     assert!(list(&over).is_empty());
 }
@@ -109,12 +124,16 @@
 /// Guards against an evacuation after the return that waits for the second read.
 #[test]
 fn after_copy_new_evacuation() {
-    let known = Evacuations::default().after(&[change("b", true, 3)], 4, EvacuationRead::Continued);
-    let known = known.after(&[change("b", false, 4)], 5, EvacuationRead::Continued);
-    let returned = known.after(
+    let known = Evacuations::default().with_changes(
+        &[change("b", true, 3)],
+        4,
+        EvacuationRead::Incremental,
+    );
+    let known = known.with_changes(&[change("b", false, 4)], 5, EvacuationRead::Incremental);
+    let returned = known.with_changes(
         &[change("b", true, later(6))],
         later(7),
-        EvacuationRead::All,
+        EvacuationRead::Full,
     );
     assert_eq!(list(&returned), ["b"]);
 }
@@ -122,12 +141,16 @@
 /// Guards against a reader that was told of the return by another node, and then takes the copy for the truth.
 #[test]
 fn after_copy_told_before_read() {
-    let known = Evacuations::default().after(&[change("a", true, 3)], 4, EvacuationRead::Continued);
-    let returned = known.after(&[], later(3), EvacuationRead::All);
+    let known = Evacuations::default().with_changes(
+        &[change("a", true, 3)],
+        4,
+        EvacuationRead::Incremental,
+    );
+    let returned = known.with_changes(&[], later(3), EvacuationRead::Full);
     let mut other = known;
-    assert!(other.replace_by(&returned));
+    assert!(other.replace_if_newer(&returned));
     for next in [later(3), later(4)] {
-        let read = other.after(&[], next, EvacuationRead::All);
+        let read = other.with_changes(&[], next, EvacuationRead::Full);
         assert_eq!(list(&read), ["a"]);
     }
 }
@@ -135,13 +158,17 @@
 /// Guards against an evacuation that is in force for good, since its end was lost and nobody wrote it again.
 #[test]
 fn after_copy_second_read() {
-    let known = Evacuations::default().after(&[change("a", true, 3)], 4, EvacuationRead::Continued);
-    let returned = known.after(&[], later(3), EvacuationRead::All);
+    let known = Evacuations::default().with_changes(
+        &[change("a", true, 3)],
+        4,
+        EvacuationRead::Incremental,
+    );
+    let returned = known.with_changes(&[], later(3), EvacuationRead::Full);
     assert_eq!(list(&returned), ["a"]);
-    let settled = returned.after(&[], later(3), EvacuationRead::AllWrittenAgain);
+    let settled = returned.with_changes(&[], later(3), EvacuationRead::AfterRewrites);
     assert!(list(&settled).is_empty());
     let mut other = returned;
-    assert!(other.replace_by(&settled));
+    assert!(other.replace_if_newer(&settled));
     assert!(list(&other).is_empty());
 }
 
@@ -187,13 +214,14 @@
                     .cloned()
                     .collect()
             };
-            let known = Evacuations::default().after(
+            let known = Evacuations::default().with_changes(
                 &read(&log, 0, 1),
                 end(1, log.len()),
-                EvacuationRead::Continued,
+                EvacuationRead::Incremental,
             );
             let before = list(&known).join(",");
-            let returned = known.after(&newest(&log[..kept], 2), end(2, kept), EvacuationRead::All);
+            let returned =
+                known.with_changes(&newest(&log[..kept], 2), end(2, kept), EvacuationRead::Full);
             let lost = log[kept..].iter().filter(|(_, evacuated)| !evacuated);
             if lost.count() == 0 || kept == log.len() {
                 assert_eq!(list(&returned).join(","), before);
@@ -203,11 +231,12 @@
             }
             // All that was lost is written again, in the same order.
             let lost = read(&log[kept..], kept as u64, 2);
-            let written = returned.after(&lost, end(2, log.len()), EvacuationRead::Continued);
-            let settled = written.after(
+            let written =
+                returned.with_changes(&lost, end(2, log.len()), EvacuationRead::Incremental);
+            let settled = written.with_changes(
                 &newest(&log, 2),
                 end(2, log.len()),
-                EvacuationRead::AllWrittenAgain,
+                EvacuationRead::AfterRewrites,
             );
             assert_eq!(list(&settled).join(","), before);
         });
