--- a/src/coordination/store_reading.rs
+++ b/src/coordination/store_reading.rs
@@ -1,9 +1,9 @@
-//! Which nodes read the platform's store, and how often the others make sure.
+//! Choice of the nodes that read the platform's store, and how often all nodes read it.
 //!
-//! Each call to the store is paid for, so two nodes of each availability zone read it and tell the
-//! others of their zone; bytes within a zone cost nothing. Nobody is appointed: each node works out
-//! the readers from the nodes it knows. Two that know different nodes may both read, or neither; the
-//! slow reads of all others and the versions on requests between nodes make up for the latter.
+//! Each call to the store costs money, so two nodes of each availability zone read it continuously and notify the other nodes of their zone;
+//! bytes within a zone are free. The readers aren't elected: each node works out the readers from the nodes it knows. Two nodes that
+//! know different nodes may both read, or neither. The latter is compensated by the infrequent reads of all other nodes and by the
+//! versions that requests between nodes carry.
 
 use crate::{protocol::store::StoreTopic, state::ablation::Mechanism};
 use std::{
@@ -12,65 +12,63 @@
     time::Duration,
 };
 
-/// Longest wait of one read of the configuration by the first reader of a zone. The store may lose a read that arrives while
-/// it is away for a moment, and both readers renew their reads when a change arrives; the next change must be in force in
-/// time all the same.
-const FIRST_WAIT: Duration = Duration::from_millis(1_700);
-/// Longest wait of one read of the nodes' records by the first reader.
-const FIRST_RECORDS_WAIT: Duration = Duration::from_secs(4);
-/// Longest wait of one read of the configuration by the second reader. It is there for the loss of the first; while that
-/// one reads, it also finds out when a store that was silent is back.
-const SECOND_WAIT: Duration = Duration::from_secs(12);
-/// Pause between two reads of the nodes' records by the second reader. A record only says where to ask, so one that is
-/// learned late while nobody has noticed the loss of the first reader costs little; each read is paid for.
-const SECOND_RECORDS_PAUSE: Duration = Duration::from_secs(8);
-/// Pause between the reads of all other nodes, at the least, for each node that is known, and at the
-/// most. Their reads together cost the same however many nodes there are, up to the longest pause.
-const OTHERS_PAUSE: (Duration, Duration, Duration) = (
+/// Maximum wait of one long-poll read of the configuration by the first reader of a zone. The store may lose a read that arrives while it
+/// is unavailable, and both readers start a new read when a change arrives; the next change must come into force in time nevertheless.
+const FIRST_READER_CONFIGURATION_WAIT: Duration = Duration::from_millis(1_700);
+/// Maximum wait of one long-poll read of the node records by the first reader.
+const FIRST_READER_RECORDS_WAIT: Duration = Duration::from_secs(4);
+/// Maximum wait of one long-poll read of the configuration by the second reader. The second reader compensates for the loss of the first.
+/// While the first one reads, the second also detects that a store that didn't answer is available again.
+const SECOND_READER_CONFIGURATION_WAIT: Duration = Duration::from_secs(12);
+/// Pause between two reads of the node records by the second reader. A record only tells which nodes can be asked, so learning of one late,
+/// while no node has noticed the loss of the first reader, costs little; each read costs money.
+const SECOND_READER_RECORDS_PAUSE: Duration = Duration::from_secs(8);
+/// Pause between reads of all other nodes: minimum, additional time per known node, and maximum. Up to the maximum, the total cost of these
+/// reads is independent of the number of nodes.
+const NON_READER_PAUSE: (Duration, Duration, Duration) = (
     Duration::from_secs(14),
     Duration::from_millis(500),
     Duration::from_mins(1),
 );
-/// Pause between two reads of the nodes' records by a reader, in the same way. At a common start all
-/// announce themselves within a second or two, and each read is paid for; after a loss of power it is the
-/// time in which nodes go by what was true before.
+/// Pause between two reads of the node records by a reader, scaled in the same way. If all nodes start together, they announce themselves
+/// within a second or two, and each read costs money. After a power loss, nodes use outdated records for this time.
 const RECORDS_PAUSE: (Duration, Duration, Duration) = (
     Duration::from_millis(400),
     Duration::from_millis(30),
     Duration::from_secs(2),
 );
 
-/// What a node reads for its zone.
+/// Role of a node in reading the store for its zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadingRole {
-    /// It reads for its zone.
+    /// Reads the store and notifies the other nodes of the zone.
     First,
-    /// It reads as well, so that the loss of the first delays no change of the configuration.
+    /// Reads as well, so that the loss of the first reader delays no change of the configuration.
     Second,
-    /// It hears from the readers and makes sure now and then.
+    /// Is notified by the readers and reads infrequently as a safeguard.
     Other,
 }
 
-/// How a node reads a topic next.
+/// Timing of the next read of a topic.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReadingPlan {
-    /// What the node reads for its zone.
+    /// Role of the node.
     pub role: ReadingRole,
-    /// Longest time that the read waits for a record.
+    /// Maximum time that the store waits for a new record before it answers.
     pub wait: Duration,
-    /// Pause before it, ended at once when the node becomes a reader.
+    /// Pause before the read; it ends early if the node becomes a reader.
     pub pause: Duration,
-    /// Pause after a read of the nodes' records.
+    /// Pause after a read of the node records.
     pub records_pause: Duration,
 }
 
-fn scale(pause: (Duration, Duration, Duration), nodes: usize) -> Duration {
-    let (least, each, most) = pause;
+fn scale_pause(pause: (Duration, Duration, Duration), nodes: usize) -> Duration {
+    let (min, per_node, max) = pause;
     let nodes = u32::try_from(nodes).unwrap_or(u32::MAX);
-    each.saturating_mul(nodes).clamp(least, most)
+    per_node.saturating_mul(nodes).clamp(min, max)
 }
 
-/// What `own` reads for its zone; `others` are the other nodes of the zone that can be reached.
+/// Role of the node `own` in its zone; `others` are the other reachable nodes of the zone.
 #[must_use]
 pub fn find_reading_role(own: SocketAddr, others: impl Iterator<Item = SocketAddr>) -> ReadingRole {
     if Mechanism::StoreReaders.is_disabled() {
@@ -90,15 +88,15 @@
     find_reading_role(own, others) != ReadingRole::Other
 }
 
-/// Whether `own` goes before all `others`, which are the other nodes that can be reached. Of what one node of the mesh
-/// does, it is the one; two that know different nodes may both be.
+/// Whether `own` ranks before all `others`, the other reachable nodes of the mesh. The first node performs the tasks that one node of the
+/// mesh is enough for. Two nodes that know different nodes may both be first.
 #[must_use]
 pub fn is_first(own: SocketAddr, mut others: impl Iterator<Item = SocketAddr>) -> bool {
     let own_rank = rank(own);
     others.all(|other| own_rank < rank(other))
 }
 
-/// The one of `others` that goes directly before `own`, if any does.
+/// Returns the node of `others` that ranks directly before `own`, if there is one.
 #[must_use]
 pub fn find_predecessor(
     own: SocketAddr,
@@ -109,7 +107,7 @@
     before.max_by_key(|other| rank(*other))
 }
 
-/// The `others` but `own` in the order in which all nodes see them, from the one after `own` on.
+/// Returns `others` without `own` as a ring: in the order of rank, which is the same at all nodes, starting after `own`.
 #[must_use]
 pub fn order_ring(own: SocketAddr, others: impl Iterator<Item = SocketAddr>) -> Vec<SocketAddr> {
     let own_rank = rank(own);
@@ -121,25 +119,29 @@
     ring
 }
 
-/// How to read a topic next, with that many nodes known.
+/// Plans the next read of a topic; `nodes` is the number of known nodes.
 #[must_use]
 pub fn plan_reading(role: ReadingRole, topic: StoreTopic, nodes: usize) -> ReadingPlan {
     let (wait, pause) = match (role, topic) {
-        (ReadingRole::First, StoreTopic::Configuration) => (FIRST_WAIT, Duration::ZERO),
-        (ReadingRole::First, StoreTopic::Nodes) => (FIRST_RECORDS_WAIT, Duration::ZERO),
-        (ReadingRole::Second, StoreTopic::Configuration) => (SECOND_WAIT, Duration::ZERO),
-        (ReadingRole::Second, StoreTopic::Nodes) => (Duration::ZERO, SECOND_RECORDS_PAUSE),
-        (ReadingRole::Other, _) => (Duration::ZERO, scale(OTHERS_PAUSE, nodes)),
+        (ReadingRole::First, StoreTopic::Configuration) => {
+            (FIRST_READER_CONFIGURATION_WAIT, Duration::ZERO)
+        }
+        (ReadingRole::First, StoreTopic::Nodes) => (FIRST_READER_RECORDS_WAIT, Duration::ZERO),
+        (ReadingRole::Second, StoreTopic::Configuration) => {
+            (SECOND_READER_CONFIGURATION_WAIT, Duration::ZERO)
+        }
+        (ReadingRole::Second, StoreTopic::Nodes) => (Duration::ZERO, SECOND_READER_RECORDS_PAUSE),
+        (ReadingRole::Other, _) => (Duration::ZERO, scale_pause(NON_READER_PAUSE, nodes)),
     };
     ReadingPlan {
         role,
         wait,
         pause,
-        records_pause: scale(RECORDS_PAUSE, nodes),
+        records_pause: scale_pause(RECORDS_PAUSE, nodes),
     }
 }
 
-/// Even over the nodes, and the same at each of them.
+/// Rank of a node: evenly distributed over the nodes, and the same at each of them.
 fn rank(address: SocketAddr) -> (u64, SocketAddr) {
     let mut hasher = DefaultHasher::new();
     address.hash(&mut hasher);
--- a/src/coordination/version_lag.rs
+++ b/src/coordination/version_lag.rs
@@ -1,17 +1,17 @@
 //! How long a node has been behind the newest configuration that other nodes report.
 //!
 //! Requests between nodes carry the version in force at the sender. A node that can't fetch a reported version, because the
-//! nodes that have it or the links to them fail, must not handle requests by the older one without end.
+//! nodes that have it or the links to them fail, must not handle requests with the older one indefinitely.
 
 use crate::state::{configuration::ConfigurationVersion, timestamp::Timestamp};
 use std::{collections::VecDeque, time::Duration};
 
-/// Versions whose first report is remembered. Only the oldest of those not in force decides.
-const VERSIONS_KEPT: usize = 16;
-/// Time after the last report at which a version counts as in force nowhere.
+/// Maximum number of versions whose first report is remembered. Only the oldest version not in force here matters.
+const MAX_VERSIONS: usize = 16;
+/// Time after the last report from which the reported versions are assumed to be in force nowhere.
 const REPORT_VALIDITY: Duration = Duration::from_secs(10);
 
-/// Reports of versions that are not in force here.
+/// Reports of versions newer than the one in force here.
 #[derive(Debug, Default)]
 pub struct VersionLag {
     /// In ascending order, each with the time of the first report of it or of a newer one.
@@ -37,7 +37,7 @@
         self.first_reports.retain(|(known, _)| *known > own);
         let newest = self.first_reports.back();
         let is_newer = newest.is_none_or(|(known, _)| *known < version);
-        if is_newer && self.first_reports.len() < VERSIONS_KEPT {
+        if is_newer && self.first_reports.len() < MAX_VERSIONS {
             self.first_reports.push_back((version, now));
         }
     }
