--- a/src/coordination/calls_per_execution.rs
+++ b/src/coordination/calls_per_execution.rs
@@ -1,6 +1,7 @@
 //! Upper bound of the number of calls that one execution of a class makes to each other service.
 //!
-//! Requests that start on a VM come from its clients or from its upstream, and they don't say which. Two upper bounds hold either way:
+//! Requests that start on a VM come from its clients or from its upstream, and they don't say which. Two upper bounds hold either
+//! way:
 //! - On average, an execution made no more calls to a service than the recent requests for the service divided by the recent
 //!   executions of the class. This bound is close if the VM mostly executes one class.
 //! - The calls of an execution are among the requests that arrived during it. This bound is close if the VM executes little.
@@ -13,8 +14,8 @@
 };
 use std::{collections::HashMap, time::Duration};
 
-/// Time constant of the counts of requests and executions. As long as the window of the retry budget, and long enough for a few hundred
-/// of both on a VM with any noticeable load.
+/// Time constant of the counts of requests and executions. As long as the window of the retry budget, and long enough for a few
+/// hundred of both on a VM with any noticeable load.
 const DECAY_TIME: Duration = Duration::from_secs(10);
 /// Weight of the newest execution in the moving average of the requests that arrived during one.
 const NEWEST_WEIGHT: f64 = 0.1;
@@ -108,8 +109,8 @@
         }
     }
 
-    /// Maximum number of calls that one execution of a class makes to each service. Empty until the first execution of the class has
-    /// ended.
+    /// Maximum number of calls that one execution of a class makes to each service. Empty until the first execution of the class
+    /// has ended.
     #[must_use]
     pub fn estimate_max_calls(&self, class: &ClassName, now: Timestamp) -> Vec<(ServiceName, f64)> {
         let Some(executions) = self.classes.get(class) else {
--- a/src/coordination/local_upstream.rs
+++ b/src/coordination/local_upstream.rs
@@ -1,7 +1,7 @@
 //! State of the local upstream as learned from its own announcements.
 //!
-//! All requests reach an upstream through its local node, so the state here is authoritative: after the upstream has announced that it is
-//! leaving, no request reaches that incarnation, whatever other nodes assume.
+//! All requests reach an upstream through its local node, so the state here is authoritative: after the upstream has announced
+//! that it is leaving, no request reaches that incarnation, whatever other nodes assume.
 
 use crate::state::{incarnation_id::IncarnationId, names::ServiceName};
 use std::{collections::VecDeque, time::Duration};
@@ -155,8 +155,8 @@
         && (known.started_ms.is_none() || reported.started_ms.is_none())
 }
 
-/// Applies a newer announcement of the current incarnation. An incarnation that is leaving never serves again: a delayed announcement
-/// from before must not make the node send requests to it.
+/// Applies a newer announcement of the current incarnation. An incarnation that is leaving never serves again: a delayed
+/// announcement from before must not make the node send requests to it.
 fn update_incarnation(
     known: &mut UpstreamIncarnation,
     incarnation: UpstreamIncarnation,
--- a/src/coordination/offer_rounds.rs
+++ b/src/coordination/offer_rounds.rs
@@ -1,12 +1,12 @@
-//! Choice of the nodes of its zone that a node offers a new version to, in addition to forwarding the offers of others. A version is that
-//! of the routing table, or the store position of the last change of an evacuation.
+//! Choice of the nodes of its zone that a node offers a new version to, in addition to forwarding the offers of others. A version
+//! is that of the routing table, or the store position of the last change of an evacuation.
 //!
-//! A reader of the store offers a new version along a distribution tree, however the reader received it. An offer may be lost: a node
-//! fails after it has accepted the offer for its part of the tree, or a node is temporarily unreachable, or not known yet. A node that
-//! misses an offer would use the older version until its next infrequent read of the store. So each node also offers the version to
-//! its successor in a ring of the zone's nodes until the successor has it, and to the nodes beyond while the successor doesn't respond.
-//! This costs one or two messages per node and change. If instead the readers offered it to all nodes directly, each reader would send
-//! 3.6 KB/s at 870 nodes and 2,700 changes a day.
+//! A reader of the store offers a new version along a distribution tree, however the reader received it. An offer may be lost: a
+//! node fails after it has accepted the offer for its part of the tree, or a node is temporarily unreachable, or not known yet. A
+//! node that misses an offer would use the older version until its next infrequent read of the store. So each node also offers the
+//! version to its successor in a ring of the zone's nodes until the successor has it, and to the nodes beyond while the successor
+//! doesn't respond. This costs one or two messages per node and change. If instead the readers offered it to all nodes directly,
+//! each reader would send 3.6 KB/s at 870 nodes and 2,700 changes a day.
 
 use crate::state::{configuration::ConfigurationVersion, timestamp::Timestamp};
 use std::{
@@ -15,11 +15,11 @@
     time::Duration,
 };
 
-/// Pause before a node is offered the version again: the first, and the maximum to which it doubles. With links of 10 to 200 Mbit/s, all
-/// of 60 nodes have a change of 1,400 routes 450 ms after the first one.
+/// Pause before a node is offered the version again: the first, and the maximum to which it doubles. With links of 10 to 200
+/// Mbit/s, all of 60 nodes have a change of 1,400 routes 450 ms after the first one.
 const PAUSE_LIMITS: (Duration, Duration) = (Duration::from_millis(400), Duration::from_secs(8));
-/// Maximum number of successors that are offered the version. The ring is ordered by a hash, so eight consecutive nodes rarely fail together
-/// unless a whole rack fails.
+/// Maximum number of successors that are offered the version. The ring is ordered by a hash, so eight consecutive nodes rarely
+/// fail together unless a whole rack fails.
 const MAX_CHECKED_NODES: usize = 8;
 
 /// Other node of the zone as an element of the ring.
@@ -59,8 +59,8 @@
             .collect()
     }
 
-    /// Returns the nodes that are now offered `version` directly; `ring` holds the other nodes of the zone, the successor of this node
-    /// first.
+    /// Returns the nodes that are now offered `version` directly; `ring` holds the other nodes of the zone, the successor of this
+    /// node first.
     pub fn plan_checks(
         &mut self,
         version: V,
--- a/src/coordination/placement.rs
+++ b/src/coordination/placement.rs
@@ -1,8 +1,8 @@
 //! Order in which an entry node asks the nodes of a service for a slot.
 //!
-//! The reported load of other nodes is outdated on arrival, since load changes within milliseconds. So an entry node sends a request only
-//! for a slot that is free immediately; a refusal costs one message in each direction and proves that the request wasn't executed. Only
-//! after no node had a free slot does a request wait, in the queue with the shortest wait.
+//! The reported load of other nodes is outdated on arrival, since load changes within milliseconds. So an entry node sends a
+//! request only for a slot that is free immediately; a refusal costs one message in each direction and proves that the request
+//! wasn't executed. Only after no node had a free slot does a request wait, in the queue with the shortest wait.
 
 use crate::state::{
     ablation::Mechanism,
@@ -18,8 +18,8 @@
 /// Added to the cost factor of 1 if all requests fail at an upstream and none at the other upstreams of the service.
 const FAILURE_COST: f64 = 8.0;
 
-/// Time for which a node has not responded, after which its cost rises, and further time by which the cost doubles. A node that has stopped
-/// responding is asked last even before it counts as unreachable.
+/// Time for which a node has not responded, after which its cost rises, and further time by which the cost doubles. A node that
+/// has stopped responding is asked last even before it counts as unreachable.
 const SILENCE_PENALTY: (Duration, Duration) =
     (Duration::from_millis(100), Duration::from_millis(100));
 
@@ -36,9 +36,9 @@
     pub reported_finish: Option<Duration>,
 }
 
-/// Returns the available nodes of a service in the order in which to ask them: nodes of `zone` first, then by ascending cost. `chance`
-/// returns random numbers from 0 to 1 that order nodes of equal cost, so that entry nodes with the same knowledge don't all ask the same
-/// node.
+/// Returns the available nodes of a service in the order in which to ask them: nodes of `zone` first, then by ascending cost.
+/// `chance` returns random numbers from 0 to 1 that order nodes of equal cost, so that entry nodes with the same knowledge don't
+/// all ask the same node.
 #[must_use]
 pub fn order_candidates<'a>(
     nodes: impl Iterator<Item = &'a KnownNode> + Clone,
@@ -73,8 +73,8 @@
         .collect()
 }
 
-/// Number of requests at the node relative to the number that it executes concurrently, multiplied by the reported slowdown of its VM and
-/// by a factor for failures that exceed those of the other upstreams.
+/// Number of requests at the node relative to the number that it executes concurrently, multiplied by the reported slowdown of its
+/// VM and by a factor for failures that exceed those of the other upstreams.
 fn estimate_cost(node: &KnownNode, common_failures: u8, now: Timestamp) -> f64 {
     let recent_load = node
         .load
@@ -110,8 +110,8 @@
     1.0 + excess.as_secs_f64() / doubling.as_secs_f64()
 }
 
-/// Lowest failure percentage among the nodes of a service. Failures that occur everywhere, for instance because calls of the upstreams to
-/// other services fail, don't speak against a single node.
+/// Lowest failure percentage among the nodes of a service. Failures that occur everywhere, for instance because calls of the
+/// upstreams to other services fail, don't speak against a single node.
 fn find_common_failures<'a>(nodes: impl Iterator<Item = &'a KnownNode>) -> u8 {
     let shares = nodes.filter_map(|node| node.load.map(|(load, _)| load.failed_percent));
     shares.min().unwrap_or(0)
--- a/src/coordination/publishing.rs
+++ b/src/coordination/publishing.rs
@@ -71,8 +71,8 @@
 
 /// Plans the next step of a publication; `wall_millis` is the wall-clock time in milliseconds since the Unix epoch.
 ///
-/// An operator who got no response sends the publication again. It is recognised by its identity: storing it a second time would revert
-/// what others have published since.
+/// An operator who got no response sends the publication again. It is recognised by its identity: storing it a second time would
+/// revert what others have published since.
 #[must_use]
 pub fn plan_publication(
     newest: Option<&PublishedRecord>,
--- a/src/coordination/retiring.rs
+++ b/src/coordination/retiring.rs
@@ -1,13 +1,13 @@
 //! Decides which node records are removed from the store because their VMs no longer exist.
 //!
-//! A VM that fails sends no message about it, and after a planned shutdown a record remains that marks the node as leaving. If records were
-//! never removed, each replaced VM would leave one for good: it would take memory on all nodes, bytes at each start, and an occasional
-//! connection attempt. One node of the mesh does the removal. It isn't elected: each node works out from the nodes it knows whether it is
-//! the one.
+//! A VM that fails sends no message about it, and after a planned shutdown a record remains that marks the node as leaving. If
+//! records were never removed, each replaced VM would leave one for good: it would take memory on all nodes, bytes at each start,
+//! and an occasional connection attempt. One node of the mesh does the removal. It isn't elected: each node works out from the
+//! nodes it knows whether it is the one.
 //!
-//! A node whose record is removed gets no requests from other nodes until it has written the record again. So a record is removed only after
-//! a long silence of its node, only if other nodes can't reach the node either, and only if the store has no newer record of it. The code is
-//! pure: the caller passes in the time and the answers of other nodes.
+//! A node whose record is removed gets no requests from other nodes until it has written the record again. So a record is removed
+//! only after a long silence of its node, only if other nodes can't reach the node either, and only if the store has no newer
+//! record of it. The code is pure: the caller passes in the time and the answers of other nodes.
 
 use crate::state::{names::AvailabilityZoneName, timestamp::Timestamp};
 use std::{
@@ -16,13 +16,13 @@
     time::Duration,
 };
 
-/// Time without contact after which a node is suspected to be lost. Longer than the minutes for which regions may lose contact to each
-/// other, and than a restart of a VM takes.
+/// Time without contact after which a node is suspected to be lost. Longer than the minutes for which regions may lose contact to
+/// each other, and than a restart of a VM takes.
 const MAX_SILENCE: Duration = Duration::from_mins(30);
 /// The same if no node of its availability zone is in contact: the zone is more likely disconnected than lost.
 const MAX_ZONE_SILENCE: Duration = Duration::from_hours(24);
-/// Interval between two probes of a node that nothing else is received from. At 870 nodes the probing node sends three small messages a
-/// second, less than 1 KB/s.
+/// Interval between two probes of a node that nothing else is received from. At 870 nodes the probing node sends three small
+/// messages a second, less than 1 KB/s.
 const PROBE_INTERVAL: Duration = Duration::from_mins(5);
 /// Number of other nodes that must fail to reach a node before its record is removed.
 pub const REQUIRED_CONFIRMATIONS: usize = 2;
@@ -53,7 +53,8 @@
 }
 
 impl RetirementTracker {
-    /// Replaces the tracked records by those now in the store. A new record, or a newer record of a tracked node, counts as contact.
+    /// Replaces the tracked records by those now in the store. A new record, or a newer record of a tracked node, counts as
+    /// contact.
     pub fn apply_records(&mut self, records: impl Iterator<Item = TrackedRecord>, now: Timestamp) {
         let mut previous = std::mem::take(&mut self.nodes);
         for record in records {
@@ -126,8 +127,8 @@
         suspects.map(|tracked| tracked.record.address).collect()
     }
 
-    /// Returns the nodes that can be asked whether they reach `suspect`, those of its zone first: the suspect may only be unreachable from
-    /// other zones.
+    /// Returns the nodes that can be asked whether they reach `suspect`, those of its zone first: the suspect may only be
+    /// unreachable from other zones.
     #[must_use]
     pub fn list_confirming_nodes(&self, suspect: SocketAddr, now: Timestamp) -> Vec<SocketAddr> {
         let Some(tracked) = self.nodes.get(&suspect) else {
@@ -160,8 +161,8 @@
     Inconclusive,
 }
 
-/// Evaluates the answers of other nodes to the question whether they reach the suspect; `None` stands for a node that did not answer. A
-/// missing answer proves nothing: if no node answers, the asking node may itself be disconnected.
+/// Evaluates the answers of other nodes to the question whether they reach the suspect; `None` stands for a node that did not
+/// answer. A missing answer proves nothing: if no node answers, the asking node may itself be disconnected.
 #[must_use]
 pub fn judge_reachability(answers: &[Option<bool>]) -> Reachability {
     if answers.contains(&Some(true)) {
--- a/src/coordination/retry_budget.rs
+++ b/src/coordination/retry_budget.rs
@@ -1,10 +1,11 @@
 //! Budget for sending requests to a second upstream. Hedged requests count as retries too.
 //!
-//! All nodes share one budget per service, and no node knows what the others have spent. Each node limits itself to its own part: a share
-//! of the requests to the service that start at it, and an equal part of the slack. The sum of the parts never exceeds the whole budget.
+//! All nodes share one budget per service, and no node knows what the others have spent. Each node limits itself to its own part:
+//! a share of the requests to the service that start at it, and an equal part of the slack. The sum of the parts never exceeds the
+//! whole budget.
 //!
-//! The calls that a retried request makes to other services count as retries at those services. They start at the node of the upstream that
-//! executes the retry, so that node spends them from its own part of the budgets before it lets the retry run.
+//! The calls that a retried request makes to other services count as retries at those services. They start at the node of the
+//! upstream that executes the retry, so that node spends them from its own part of the budgets before it lets the retry run.
 
 use crate::state::timestamp::Timestamp;
 use std::{collections::VecDeque, time::Duration};
@@ -27,8 +28,8 @@
     pub rules: RetryBudgetRules,
     /// Number of nodes that share the slack.
     pub nodes: usize,
-    /// Time since the node process started. It is unknown what an earlier process of the node has spent, so the node's part of the slack
-    /// grows from zero to its full size during the first window.
+    /// Time since the node process started. It is unknown what an earlier process of the node has spent, so the node's part of the
+    /// slack grows from zero to its full size during the first window.
     pub uptime: Duration,
 }
 
@@ -40,8 +41,9 @@
     }
 }
 
-/// Share of the allowed retries that is used. A retry is spent when it is decided, but reaches its upstream up to a deadline (about a tenth
-/// of the window) later, and so do its calls. The retries that arrive within one window may have been spent in a longer one.
+/// Share of the allowed retries that is used. A retry is spent when it is decided, but reaches its upstream up to a deadline
+/// (about a tenth of the window) later, and so do its calls. The retries that arrive within one window may have been spent in a
+/// longer one.
 const USED_SHARE: f64 = 0.85;
 
 #[derive(Clone, Copy, Debug)]
--- a/src/coordination/slot_queue.rs
+++ b/src/coordination/slot_queue.rs
@@ -1,16 +1,16 @@
-//! Which requests run at an upstream, which wait and which are refused, at the node beside it.
+//! Admission of requests to an upstream at its local node: each request runs, waits in the queue or is refused.
 //!
-//! Pure: every event carries its moment. The node is the only way to its upstream, so the count of
-//! running requests is exact, and an upstream that is never given more than its limit never rejects.
+//! The code is pure: every event carries its time. All requests reach an upstream through its local node, so the count of running
+//! requests is exact, and an upstream that never gets more than its limit never rejects a request.
 //!
-//! VMs are shared with others, and work that starts while the VM is slow stays slow to its end: it
-//! holds its slot for several times as long. So a start waits for the VM to recover if that is the
-//! sooner end, and other nodes are asked meanwhile.
+//! Upstreams share their hosts with other VMs. Work that starts while the VM is slowed down stays slow until its end and occupies
+//! its slot for several times as long. So a start is delayed until the slowdown ends if the request then finishes sooner, and new
+//! requests try other nodes meanwhile.
 //!
-//! Load pattern answered: more work comes than can be done, for seconds. Then nearly all that waits would be late, and
-//! an order of arrival makes all of it late. So a request that can't be on time never goes before one that can, and
-//! it waits only if such requests were given slots lately; else it is refused at once, while its client still has
-//! time to do something else.
+//! Load pattern: for seconds, more requests arrive than can be executed, so most of those that wait would finish late, and in
+//! order of arrival all of them would. So a request that can't finish within its latency target is never started before one of its
+//! priority that can. It waits only if such requests have recently got slots; otherwise it is refused at once, while its client
+//! still has time to do something else.
 
 mod forecast;
 mod late_start_share;
@@ -26,45 +26,45 @@
 use late_start_share::LateStartShare;
 use std::time::Duration;
 
-/// Number of a request in the queue or at the upstream.
+/// Number that identifies a request while it waits or runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct SlotNumber(pub u64);
 
-/// What a request asks for.
+/// Request for a slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SlotRequest {
-    /// Rank; 0 goes first.
+    /// Priority; 0 is the highest.
     pub priority: u8,
-    /// Time in which it has to end to be taken; zero if it wants a slot at once or none.
+    /// Time within which the request must finish, otherwise it is refused; zero if it is refused unless a slot is free.
     pub finish_within: Duration,
-    /// Time in which it is to end to be on time; zero if that is over.
+    /// Time left until its latency target; zero if the target has passed.
     pub target_left: Duration,
-    /// Time until its deadline.
+    /// Time left until its deadline.
     pub time_left: Duration,
-    /// Time that it takes at the best pace.
+    /// Expected execution time at full speed of the VM.
     pub expected: Duration,
 }
 
-/// The decision on a request.
+/// Decision on a new request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SlotDecision {
-    /// It runs now.
+    /// The request runs now.
     Run(SlotNumber),
-    /// It waits.
+    /// The request waits in the queue.
     Wait(SlotNumber),
-    /// It would not end in time.
+    /// The request could not finish in time.
     Refuse {
-        /// Time in which it would have ended.
+        /// Time in which the request would have finished.
         finish_in: Duration,
     },
 }
 
-/// What became of a request that waited.
+/// Decision on a waiting request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SlotAction {
-    /// It runs now.
+    /// The request runs now.
     Start(SlotNumber),
-    /// It waits no longer: it can't end before its deadline, or nothing runs here.
+    /// The request is removed from the queue: it can't finish before its deadline, or the node has stopped executing requests.
     Expire(SlotNumber),
 }
 
@@ -73,15 +73,15 @@
     number: SlotNumber,
     priority: u8,
     expected: Duration,
-    /// Started later, it ends later than it should; none if it could not end in time when it came.
-    on_time_until: Option<Timestamp>,
-    /// Started later, it does not end before its deadline.
-    until: Timestamp,
+    /// Latest start to finish within the latency target; none if that was impossible when the request arrived.
+    latest_on_time_start: Option<Timestamp>,
+    /// Latest start to finish before the deadline.
+    latest_start: Timestamp,
 }
 
 impl Waiting {
-    /// Requests that can still be on time go before those of their priority that can't: work for an
-    /// answer that is late already would make the next one late as well.
+    /// Sort key: within a priority, requests that can still meet their latency target come first. Executing a request that is late
+    /// already would make the next one late as well.
     fn rank(&self, now: Timestamp) -> (u8, bool) {
         let priority = if Mechanism::Priorities.is_disabled() {
             0
@@ -92,22 +92,22 @@
     }
 
     fn is_late(&self, now: Timestamp) -> bool {
-        self.on_time_until.is_none_or(|until| now > until)
+        self.latest_on_time_start.is_none_or(|latest| now > latest)
     }
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Running {
     number: SlotNumber,
-    ends: Timestamp,
+    ends_at: Timestamp,
 }
 
-/// The slots of one upstream.
+/// Running and waiting requests of one upstream.
 #[derive(Clone, Debug)]
 pub struct SlotQueue {
     limit: usize,
     running: Vec<Running>,
-    /// In the order of arrival.
+    /// In order of arrival.
     waiting: Vec<Waiting>,
     next_number: u64,
     slowdown: VmSlowdown,
@@ -116,7 +116,7 @@
 }
 
 impl SlotQueue {
-    /// An idle upstream that runs `limit` requests at once.
+    /// Creates the queue of an idle upstream that executes at most `limit` requests concurrently.
     #[must_use]
     pub fn new(limit: usize, now: Timestamp) -> Self {
         Self {
@@ -130,78 +130,78 @@
         }
     }
 
-    /// Requests at the upstream.
+    /// Number of running requests.
     #[must_use]
     pub fn running(&self) -> usize {
         self.running.len()
     }
 
-    /// Requests that wait.
+    /// Number of waiting requests.
     #[must_use]
     pub fn queued(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Requests that may run at once.
+    /// Maximum number of running requests.
     #[must_use]
     pub fn limit(&self) -> usize {
         self.limit
     }
 
-    /// How fast the VM works, as last told.
+    /// Last known slowdown of the VM.
     #[must_use]
     pub fn slowdown(&self) -> VmSlowdown {
         self.slowdown
     }
 
-    /// Takes a new limit; requests beyond a lowered one end as they would have.
+    /// Changes the limit. Running requests that exceed a lowered limit continue.
     pub fn set_limit(&mut self, limit: usize, now: Timestamp) -> Vec<SlotAction> {
         self.limit = limit.max(1);
-        self.fill(now)
+        self.start_waiting(now)
     }
 
-    /// Resets the warmup for a new run of the upstream.
+    /// Resets the warmup for a new incarnation of the upstream.
     pub fn begin_incarnation(&mut self) {
         self.slow_start.begin_incarnation();
     }
 
-    /// Records that the current run of the upstream got requests of an earlier process of this node.
+    /// Records that the current incarnation of the upstream got requests from an earlier process of this node.
     pub fn mark_incarnation_inherited(&mut self) {
         self.slow_start.mark_incarnation_inherited();
     }
 
     /// Records the warmup state that the upstream reports.
-    pub fn record_warmup(&mut self, told: WarmupReport, now: Timestamp) {
-        self.slow_start.record_report(told, now);
+    pub fn record_warmup(&mut self, report: WarmupReport, now: Timestamp) {
+        self.slow_start.record_report(report, now);
     }
 
-    /// Whether the upstream is cold as far as is known.
+    /// Whether the upstream is known to be cold.
     #[must_use]
     pub fn is_warming_up(&self, now: Timestamp) -> bool {
         self.slow_start.is_warming_up(now)
     }
 
-    /// Records the current pace of the VM.
+    /// Records the current slowdown of the VM.
     pub fn set_slowdown(&mut self, slowdown: VmSlowdown, now: Timestamp) -> Vec<SlotAction> {
         self.slowdown = slowdown;
-        self.fill(now)
+        self.start_waiting(now)
     }
 
     /// Decides on a new request.
     pub fn submit(&mut self, request: SlotRequest, now: Timestamp) -> SlotDecision {
-        let on_time = self.forecast(&request, now);
-        let fits = on_time <= request.target_left;
-        let waiting = self.describe(&request, fits, now);
+        let finish_before_late = self.forecast_finish(&request, now);
+        let meets_target = finish_before_late <= request.target_left;
+        let waiting = self.build_entry(&request, meets_target, now);
         if self.may_start(&request, now) {
             self.next_number += 1;
-            self.late_start_share.note_idle();
+            self.late_start_share.record_immediate_start();
             self.start(&waiting, now);
             return SlotDecision::Run(waiting.number);
         }
-        let finish_in = if fits {
-            on_time
+        let finish_in = if meets_target {
+            finish_before_late
         } else {
-            self.forecast_late(&request, now)
+            self.forecast_late_finish(&request, now)
         };
         if finish_in > request.finish_within {
             return SlotDecision::Refuse { finish_in };
@@ -211,45 +211,46 @@
         SlotDecision::Wait(waiting.number)
     }
 
-    /// The request as it would wait; `fits` if it could end in time.
-    fn describe(&self, request: &SlotRequest, fits: bool, now: Timestamp) -> Waiting {
-        let takes = self.slowdown.estimate_baseline_duration(request.expected);
-        let latest = now + request.target_left.saturating_sub(takes);
+    /// Builds the queue entry of a request; `meets_target` tells whether it can finish within its latency target.
+    fn build_entry(&self, request: &SlotRequest, meets_target: bool, now: Timestamp) -> Waiting {
+        let duration = self.slowdown.estimate_baseline_duration(request.expected);
+        let latest_on_time_start = now + request.target_left.saturating_sub(duration);
         Waiting {
             number: SlotNumber(self.next_number),
             priority: request.priority,
             expected: request.expected,
-            on_time_until: fits.then_some(latest),
-            until: now + request.time_left.saturating_sub(takes),
+            latest_on_time_start: meets_target.then_some(latest_on_time_start),
+            latest_start: now + request.time_left.saturating_sub(duration),
         }
     }
 
-    /// Whether a new request runs at once. At a slow moment one that wants a slot at once goes to another node.
+    /// Whether a new request runs at once. While the VM is slowed down, a request that must not wait is refused, so that its entry
+    /// node tries another node.
     fn may_start(&self, request: &SlotRequest, now: Timestamp) -> bool {
-        let has_room = self.has_room(now) && self.waiting.is_empty();
-        let goes_elsewhere = self.slowdown.is_above_baseline() && request.finish_within.is_zero();
-        has_room && self.slowdown.should_start_now(request.expected) && !goes_elsewhere
+        let can_start_another = self.can_start_another(now) && self.waiting.is_empty();
+        let is_redirected = self.slowdown.is_above_baseline() && request.finish_within.is_zero();
+        can_start_another && self.slowdown.should_start_now(request.expected) && !is_redirected
     }
 
-    /// Whether one more request may run now.
-    fn has_room(&self, now: Timestamp) -> bool {
+    /// Whether the limit and the warmup of the upstream permit one more request now.
+    fn can_start_another(&self, now: Timestamp) -> bool {
         self.running.len() < self.limit && self.slow_start.wait(0, now).is_zero()
     }
 
     /// Records the end of a request at the upstream.
     pub fn finish(&mut self, number: SlotNumber, now: Timestamp) -> Vec<SlotAction> {
         self.running.retain(|running| running.number != number);
-        self.fill(now)
+        self.start_waiting(now)
     }
 
-    /// Takes out a request that waits; false if it does not wait any longer.
+    /// Removes a waiting request from the queue; returns false if it is no longer waiting.
     pub fn withdraw(&mut self, number: SlotNumber) -> bool {
-        let before = self.waiting.len();
+        let previous_len = self.waiting.len();
         self.waiting.retain(|waiting| waiting.number != number);
-        self.waiting.len() < before
+        self.waiting.len() < previous_len
     }
 
-    /// Takes out all requests that wait.
+    /// Removes all waiting requests from the queue.
     pub fn withdraw_all(&mut self) -> Vec<SlotAction> {
         let waiting = self.waiting.drain(..);
         waiting
@@ -257,37 +258,44 @@
             .collect()
     }
 
-    /// Looks at the waiting requests again.
+    /// Removes expired requests from the queue and starts those that the limits now permit.
     pub fn expire(&mut self, now: Timestamp) -> Vec<SlotAction> {
-        self.fill(now)
+        self.start_waiting(now)
     }
 
-    /// When [`Self::expire`] has something to do.
+    /// Time at which [`Self::expire`] must be called next, if requests wait.
     #[must_use]
     pub fn next_expiry(&self, now: Timestamp) -> Option<Timestamp> {
-        let expiry = self.waiting.iter().map(|waiting| waiting.until).min()?;
+        let expiry = self
+            .waiting
+            .iter()
+            .map(|waiting| waiting.latest_start)
+            .min()?;
         let wait = self.slow_start.wait(0, now);
-        let is_held_back = self.running.len() < self.limit && !wait.is_zero();
-        Some(if is_held_back {
+        let waits_for_warmup = self.running.len() < self.limit && !wait.is_zero();
+        Some(if waits_for_warmup {
             expiry.min(now + wait)
         } else {
             expiry
         })
     }
 
-    /// Time in which a request would have ended that is offered now and goes before those that are late.
-    fn forecast(&self, request: &SlotRequest, now: Timestamp) -> Duration {
+    /// Time in which a request submitted now would finish, if it precedes waiting requests that are late.
+    fn forecast_finish(&self, request: &SlotRequest, now: Timestamp) -> Duration {
         let rank = (request.priority, false);
         let before = self
             .waiting
             .iter()
             .filter(|waiting| waiting.rank(now) <= rank);
-        let held_back = self.slow_start.wait(before.clone().count(), now);
+        let warmup_wait = self.slow_start.wait(before.clone().count(), now);
         let ahead =
             before.map(|waiting| self.slowdown.estimate_baseline_duration(waiting.expected));
-        let ends = self.running.iter().map(|running| running.ends.since(now));
-        let starts_slow = self.slowdown.should_start_now(request.expected);
-        let (pause, takes) = if starts_slow {
+        let running_ends = self
+            .running
+            .iter()
+            .map(|running| running.ends_at.since(now));
+        let starts_now = self.slowdown.should_start_now(request.expected);
+        let (pause, duration) = if starts_now {
             (
                 Duration::ZERO,
                 self.slowdown.estimate_duration(request.expected),
@@ -298,11 +306,11 @@
                 self.slowdown.estimate_baseline_duration(request.expected),
             )
         };
-        forecast_start(self.limit, ends, ahead, pause).max(held_back) + takes
+        forecast_start(self.limit, running_ends, ahead, pause).max(warmup_wait) + duration
     }
 
-    /// The same for one that goes after those that can be on time, also those that are still to come.
-    fn forecast_late(&self, request: &SlotRequest, now: Timestamp) -> Duration {
+    /// The same for a request that follows all requests that can meet their target, including those that have yet to arrive.
+    fn forecast_late_finish(&self, request: &SlotRequest, now: Timestamp) -> Duration {
         let rank = (request.priority, true);
         let late = self.waiting.iter().filter(|waiting| waiting.is_late(now));
         let ahead: Duration = late
@@ -311,46 +319,47 @@
             .sum();
         let wait = self
             .late_start_share
-            .stretch(ahead, request.expected, self.limit);
-        self.forecast(request, now) + self.slowdown.estimate_baseline_duration(wait)
+            .estimate_wait(ahead, request.expected, self.limit);
+        self.forecast_finish(request, now) + self.slowdown.estimate_baseline_duration(wait)
     }
 
     fn start(&mut self, waiting: &Waiting, now: Timestamp) {
         self.slow_start.record_start(now);
         self.running.push(Running {
             number: waiting.number,
-            ends: now + self.slowdown.estimate_duration(waiting.expected),
+            ends_at: now + self.slowdown.estimate_duration(waiting.expected),
         });
     }
 
-    fn fill(&mut self, now: Timestamp) -> Vec<SlotAction> {
+    /// Removes waiting requests that can no longer finish before their deadline, and starts others while possible.
+    fn start_waiting(&mut self, now: Timestamp) -> Vec<SlotAction> {
         let mut actions = Vec::new();
         self.waiting.retain(|waiting| {
-            let kept = now < waiting.until;
+            let kept = now < waiting.latest_start;
             if !kept {
                 actions.push(SlotAction::Expire(waiting.number));
             }
             kept
         });
-        while self.has_room(now) {
-            let Some(index) = self.find_next(now) else {
+        while self.can_start_another(now) {
+            let Some(index) = self.find_next_startable(now) else {
                 break;
             };
-            let late_waits = self.waiting.iter().any(|waiting| waiting.is_late(now));
+            let has_late_waiting = self.waiting.iter().any(|waiting| waiting.is_late(now));
             let next = self.waiting.remove(index);
             self.late_start_share
-                .note_start(late_waits, next.is_late(now));
+                .record_queued_start(has_late_waiting, next.is_late(now));
             self.start(&next, now);
             actions.push(SlotAction::Start(next.number));
         }
         actions
     }
 
-    fn find_next(&self, now: Timestamp) -> Option<usize> {
-        let startable = |waiting: &Waiting| self.slowdown.should_start_now(waiting.expected);
+    fn find_next_startable(&self, now: Timestamp) -> Option<usize> {
+        let can_start = |waiting: &Waiting| self.slowdown.should_start_now(waiting.expected);
         let indexed = self.waiting.iter().enumerate();
         indexed
-            .filter(|(_, waiting)| startable(waiting))
+            .filter(|(_, waiting)| can_start(waiting))
             .min_by_key(|(index, waiting)| (waiting.rank(now), *index))
             .map(|(index, _)| index)
     }
--- a/src/coordination/slot_search.rs
+++ b/src/coordination/slot_search.rs
@@ -1,8 +1,9 @@
 //! Search for a free slot for one request: first at nodes of the local availability zone, then at nodes of other zones, then in the
 //! queue of the node where the request would finish soonest.
 //!
-//! Load pattern: all upstreams of a service are full for seconds. Each request would ask nodes of other zones in vain, and each attempt
-//! carries the request body and costs by the byte. So a recent refusal of such a node is taken as its answer to this request too.
+//! Load pattern: all upstreams of a service are full for seconds. Each request would ask nodes of other zones in vain, and each
+//! attempt carries the request body and costs by the byte. So a recent refusal of such a node is taken as its answer to this
+//! request too.
 //!
 //! The search is pure: the caller passes in each answer and the elapsed time, and performs the step that is returned.
 
@@ -20,8 +21,8 @@
 /// Share of the latency target after which an idempotent request without a response is also sent to a second node.
 const HEDGE_SHARE: f64 = 0.6;
 /// If a request can finish in the local zone within this share of its latency target, it waits there and other zones aren't asked.
-/// The first value holds for a class without payload; the second is added per KB of request and response, because bytes between zones
-/// cost money.
+/// The first value holds for a class without payload; the second is added per KB of request and response, because bytes between
+/// zones cost money.
 const LOCAL_WAIT_SHARE: (f64, f64) = (0.4, 0.08);
 /// Upper limit of the share of the latency target that results from [`LOCAL_WAIT_SHARE`].
 const MAX_LOCAL_WAIT_SHARE: f64 = 0.95;
@@ -121,8 +122,8 @@
         self.refusals.push(refusal);
     }
 
-    /// Records that a node accepts no work at all. If the request was to wait there, the search goes back to the nodes of other zones,
-    /// which were skipped because the wait was short enough.
+    /// Records that a node accepts no work at all. If the request was to wait there, the search goes back to the nodes of other
+    /// zones, which were skipped because the wait was short enough.
     pub fn continue_in_remote_zones(&mut self) {
         if self.phase == Phase::Wait {
             self.phase = Phase::RemoteZones;
@@ -211,8 +212,8 @@
         }
     }
 
-    /// Time after which the client of a refused request should retry: when its request could have finished within the target. `spread`
-    /// is a random factor of about 1 that keeps clients from retrying at the same time.
+    /// Time after which the client of a refused request should retry: when its request could have finished within the target.
+    /// `spread` is a random factor of about 1 that keeps clients from retrying at the same time.
     #[must_use]
     pub fn find_retry_after(&self, spread: f64) -> Duration {
         let (min, max) = RETRY_AFTER_RANGE;
--- a/src/coordination/slow_start.rs
+++ b/src/coordination/slow_start.rs
@@ -1,8 +1,8 @@
 //! Limit on the requests that an upstream gets while it warms up.
 //!
-//! A cold upstream tolerates a limited request rate and crashes well above it. All requests reach it through its local node, so this
-//! node counts the starts of the last second. It also counts while the upstream is warm: the upstream may become cold at any time, and
-//! earlier starts within the same second count towards the limit.
+//! A cold upstream tolerates a limited request rate and crashes well above it. All requests reach it through its local node, so
+//! this node counts the starts of the last second. It also counts while the upstream is warm: the upstream may become cold at any
+//! time, and earlier starts within the same second count towards the limit.
 //!
 //! Load pattern: all upstreams restart cold at once, and the requests queued meanwhile would start in one burst.
 
@@ -68,8 +68,8 @@
     warmup_until: Timestamp,
     /// The last starts, oldest first.
     starts: VecDeque<Timestamp>,
-    /// Start of the counting. Set while an earlier process of this node may have sent requests to the current incarnation of the upstream;
-    /// these are not counted.
+    /// Start of the counting. Set while an earlier process of this node may have sent requests to the current incarnation of the
+    /// upstream; these are not counted.
     counted_since: Option<Timestamp>,
     /// Start time of this node process.
     started: Timestamp,
@@ -91,16 +91,16 @@
         }
     }
 
-    /// Resets the warmup for a new incarnation of the upstream, which gets all its requests through this process. Starts at the previous
-    /// incarnation still count: an upstream may restart under the same identity within the window.
+    /// Resets the warmup for a new incarnation of the upstream, which gets all its requests through this process. Starts at the
+    /// previous incarnation still count: an upstream may restart under the same identity within the window.
     pub fn begin_incarnation(&mut self) {
         self.warmup_until = Timestamp::default();
         self.counted_since = None;
         self.is_inherited = false;
     }
 
-    /// Records that the current incarnation of the upstream got requests from an earlier process of this node. A warmup that began after
-    /// that process ended doesn't rule this out: the upstream may have been cold before as well.
+    /// Records that the current incarnation of the upstream got requests from an earlier process of this node. A warmup that began
+    /// after that process ended doesn't rule this out: the upstream may have been cold before as well.
     pub fn mark_incarnation_inherited(&mut self) {
         self.counted_since = Some(self.started);
         self.is_inherited = true;
--- a/src/coordination/store_reading.rs
+++ b/src/coordination/store_reading.rs
@@ -1,9 +1,9 @@
 //! Choice of the nodes that read the platform's store, and how often all nodes read it.
 //!
-//! Each call to the store costs money, so two nodes of each availability zone read it continuously and notify the other nodes of their zone;
-//! bytes within a zone are free. The readers aren't elected: each node works out the readers from the nodes it knows. Two nodes that
-//! know different nodes may both read, or neither. The latter is compensated by the infrequent reads of all other nodes and by the
-//! versions that requests between nodes carry.
+//! Each call to the store costs money, so two nodes of each availability zone read it continuously and notify the other nodes of
+//! their zone; bytes within a zone are free. The readers aren't elected: each node works out the readers from the nodes it knows.
+//! Two nodes that know different nodes may both read, or neither. The latter is compensated by the infrequent reads of all other
+//! nodes and by the versions that requests between nodes carry.
 
 use crate::{protocol::store::StoreTopic, state::ablation::Mechanism};
 use std::{
@@ -12,26 +12,28 @@
     time::Duration,
 };
 
-/// Maximum wait of one long-poll read of the configuration by the first reader of a zone. The store may lose a read that arrives while it
-/// is unavailable, and both readers start a new read when a change arrives; the next change must come into force in time nevertheless.
+/// Maximum wait of one long-poll read of the configuration by the first reader of a zone. The store may lose a read that arrives
+/// while it is unavailable, and both readers start a new read when a change arrives; the next change must come into force in time
+/// nevertheless.
 const FIRST_READER_CONFIGURATION_WAIT: Duration = Duration::from_millis(1_700);
 /// Maximum wait of one long-poll read of the node records by the first reader.
 const FIRST_READER_RECORDS_WAIT: Duration = Duration::from_secs(4);
-/// Maximum wait of one long-poll read of the configuration by the second reader. The second reader compensates for the loss of the first.
-/// While the first one reads, the second also detects that a store that didn't answer is available again.
+/// Maximum wait of one long-poll read of the configuration by the second reader. The second reader compensates for the loss of the
+/// first. While the first one reads, the second also detects that a store that didn't answer is available again.
 const SECOND_READER_CONFIGURATION_WAIT: Duration = Duration::from_secs(12);
-/// Pause between two reads of the node records by the second reader. A record only tells which nodes can be asked, so learning of one late,
-/// while no node has noticed the loss of the first reader, costs little; each read costs money.
+/// Pause between two reads of the node records by the second reader. A record only tells which nodes can be asked, so learning of
+/// one late, while no node has noticed the loss of the first reader, costs little; each read costs money.
 const SECOND_READER_RECORDS_PAUSE: Duration = Duration::from_secs(8);
-/// Pause between reads of all other nodes: minimum, additional time per known node, and maximum. Up to the maximum, the total cost of these
+/// Pause between reads of all other nodes: minimum, time per known node, and maximum. Up to the maximum, the total cost of these
 /// reads is independent of the number of nodes.
 const NON_READER_PAUSE: (Duration, Duration, Duration) = (
     Duration::from_secs(14),
     Duration::from_millis(500),
     Duration::from_mins(1),
 );
-/// Pause between two reads of the node records by a reader, scaled in the same way. If all nodes start together, they announce themselves
-/// within a second or two, and each read costs money. After a power loss, nodes use outdated records for this time.
+/// Pause between two reads of the node records by a reader, scaled in the same way. If all nodes start together, they announce
+/// themselves within a second or two, and each read costs money, so a read after a pause returns several records. After a power
+/// loss, nodes use outdated records for this time.
 const RECORDS_PAUSE: (Duration, Duration, Duration) = (
     Duration::from_millis(400),
     Duration::from_millis(30),
@@ -88,8 +90,8 @@
     find_reading_role(own, others) != ReadingRole::Other
 }
 
-/// Whether `own` ranks before all `others`, the other reachable nodes of the mesh. The first node performs the tasks that one node of the
-/// mesh is enough for. Two nodes that know different nodes may both be first.
+/// Whether `own` ranks before all `others`, the other reachable nodes of the mesh. The first node performs the tasks that one node
+/// of the mesh is enough for. Two nodes that know different nodes may both be first.
 #[must_use]
 pub fn is_first(own: SocketAddr, mut others: impl Iterator<Item = SocketAddr>) -> bool {
     let own_rank = rank(own);
--- a/src/coordination/table_sources.rs
+++ b/src/coordination/table_sources.rs
@@ -1,15 +1,15 @@
 //! Decides from which node a newer routing table is fetched, and which offers are forwarded to further nodes.
 //!
-//! A new version is offered along a distribution tree of the nodes of a zone (see [`super::fanout`]). A node that lacks the version
-//! fetches it once, from the node that offered it, and then offers it to the nodes after it. Requests between nodes also carry the
-//! version in force at the sender. Such reports lead to nodes of any zone, and many nodes would fetch from the same one, so a report is
-//! used only if no offer arrives in time.
+//! A new version is offered along a distribution tree of the nodes of a zone (see [`super::fanout`]). A node that lacks the
+//! version fetches it once, from the node that offered it, and then offers it to the nodes after it. Requests between nodes also
+//! carry the version in force at the sender. Such reports lead to nodes of any zone, and many nodes would fetch from the same one,
+//! so a report is used only if no offer arrives in time.
 
 use crate::state::{configuration::ConfigurationVersion, timestamp::Timestamp};
 use std::{collections::VecDeque, net::SocketAddr, time::Duration};
 
-/// Time that a node waits for an offer after a request has reported a newer version. With links of 10 to 200 Mbit/s, half of 60 nodes
-/// have a change of 1,400 routes 270 ms after the first reader; a node that waits less fetches from another zone.
+/// Time that a node waits for an offer after a request has reported a newer version. With links of 10 to 200 Mbit/s, half of 60
+/// nodes have a change of 1,400 routes 270 ms after the first reader; a node that waits less fetches from another zone.
 const OFFER_WAIT: Duration = Duration::from_millis(300);
 /// Maximum number of nodes whose reports are remembered; the latest are kept.
 const MAX_REPORTS: usize = 8;
@@ -65,7 +65,8 @@
         self.offers.push(offer);
     }
 
-    /// Records the version reported with a request or its response. Returns whether it is newer than `own`, the version in force here.
+    /// Records the version reported with a request or its response. Returns whether it is newer than `own`, the version in force
+    /// here.
     pub fn record_report(
         &mut self,
         from: SocketAddr,
@@ -118,8 +119,9 @@
         FetchStep::FetchReported(from, version)
     }
 
-    /// Removes and returns the offers to forward now: those not newer than `own`, the version in force here, and those that a fetch
-    /// has been started for, whether or not it succeeded: a node whose fetch fails must not keep the version from the nodes after it.
+    /// Removes and returns the offers to forward now: those not newer than `own`, the version in force here, and those that a
+    /// fetch has been started for, whether or not it succeeded: a node whose fetch fails must not keep the version from the nodes
+    /// after it.
     pub fn take_forwardable_offers(&mut self, own: ConfigurationVersion) -> Vec<TableOffer> {
         let is_not_newer = |offer: &mut TableOffer| offer.version <= own;
         let mut forwardable: Vec<TableOffer> = self.offers.extract_if(.., is_not_newer).collect();
--- a/src/coordination/vm_slowdown.rs
+++ b/src/coordination/vm_slowdown.rs
@@ -1,11 +1,12 @@
 //! Estimates how much slower than usual an upstream's VM works, from the slowdown that the upstream reports with its responses.
 //!
-//! A slowdown has two possible causes that look the same in a single report. Other VMs on the same host may take the processor for a
-//! fraction of a second; a request that waits until this is over finishes sooner. Or the upstream is slow for a long time, because it
-//! has just started or its VM is overloaded; then waiting gains nothing and the upstream idles. The two are told apart by their duration.
+//! A slowdown has two possible causes that look the same in a single report. Other VMs on the same host may take the processor for
+//! a fraction of a second; a request that waits until this is over finishes sooner. Or the upstream is slow for a long time,
+//! because it has just started or its VM is overloaded; then waiting gains nothing and the upstream idles. The two are told apart
+//! by their duration.
 //!
-//! Load pattern: after a power loss all VMs restart at once, each upstream works at half its speed for some seconds, and clients that
-//! were refused in one second retry in the next.
+//! Load pattern: after a power loss all VMs restart at once, each upstream works at half its speed for some seconds, and clients
+//! that were refused in one second retry in the next.
 
 use crate::state::timestamp::Timestamp;
 use std::time::Duration;
@@ -17,8 +18,8 @@
 const INITIAL_PERIOD: Duration = Duration::from_millis(200);
 /// Weight of the newest slow period in the moving average of their durations.
 const NEWEST_WEIGHT: f64 = 0.1;
-/// A slow period longer than this many mean durations becomes the new baseline. If the time to the end of a period doesn't depend on
-/// its age, 1 period in 20 is longer than that.
+/// A slow period longer than this many mean durations becomes the new baseline. If the time to the end of a period doesn't depend
+/// on its age, 1 period in 20 is longer than that.
 const MAX_PERIOD_MEANS: u32 = 3;
 /// Minimum mean duration used in estimates, in seconds: the interval between two probes.
 const MIN_MEAN_SECONDS: f64 = 0.04;
@@ -87,7 +88,8 @@
 /// Baseline and slow periods learned from the reports of the upstream.
 #[derive(Clone, Copy, Debug)]
 pub struct SlowdownHistory {
-    /// None before the first report. With an initial value, an upstream that has just started would look slowed down and get no work.
+    /// None before the first report. With an initial value, an upstream that has just started would look slowed down and get no
+    /// work.
     baseline_percent: Option<u16>,
     current_period: Option<SlowPeriod>,
     /// Mean duration of slow periods in seconds, and mean of its square.
--- a/tests/integration/slot_search.rs
+++ b/tests/integration/slot_search.rs
@@ -58,7 +58,8 @@
     );
 }
 
-/// Failure: while the local zone is evacuated, a request waits at one of two full nodes of another zone, though a third one is idle.
+/// Failure: while the local zone is evacuated, a request waits at one of two full nodes of another zone, though a third one is
+/// idle.
 #[test]
 fn find_next_without_local_zone() {
     let candidates = (1..=6).map(|last| candidate(last, false)).collect();
@@ -76,8 +77,8 @@
     ));
 }
 
-/// Failure: under overload a fifth of the bytes between zones is spent on requests, with their bodies, that are refused. Each request
-/// is sent to nodes that refused the one before for lack of a slot.
+/// Failure: under overload a fifth of the bytes between zones is spent on requests, with their bodies, that are refused. Each
+/// request is sent to nodes that refused the one before for lack of a slot.
 #[test]
 fn find_next_uses_reported_refusals() {
     let full = PlacementCandidate {
@@ -133,8 +134,8 @@
     assert_eq!(search.find_next(time(10)), SearchStep::GiveUp);
 }
 
-/// For any answers at any time: a limited number of nodes is asked, each once, those of the local zone first. A request waits at most
-/// twice, only at a node that reported an early enough finish. The `Retry-After` time is within its limits.
+/// For any answers at any time: a limited number of nodes is asked, each once, those of the local zone first. A request waits at
+/// most twice, only at a node that reported an early enough finish. The `Retry-After` time is within its limits.
 #[test]
 fn find_next_any_answers() {
     check!()
--- a/tests/integration/table_sources.rs
+++ b/tests/integration/table_sources.rs
@@ -81,7 +81,8 @@
     assert_eq!(sources.plan_next_step(OWN, due), FetchStep::Done);
 }
 
-/// Failure: a node that starts waits for an offer before its first fetch and serves nothing meanwhile, though no other node knows of it.
+/// Failure: a node that starts waits for an offer before its first fetch and serves nothing meanwhile, though no other node knows
+/// of it.
 #[test]
 fn plan_next_step_without_own_table() {
     let mut sources = TableSources::default();
--- a/tests/integration/vm_slowdown.rs
+++ b/tests/integration/vm_slowdown.rs
@@ -27,9 +27,9 @@
     assert!(!report(&mut history, 100, (280, 300)).is_above_baseline());
 }
 
-/// Failure: for seconds after a power loss of all VMs, upstreams idle while requests wait until their deadlines expire. An upstream that
-/// has just started takes twice its usual time for several seconds. Its node must not count this as a slow period of 200 ms that is
-/// worth waiting out.
+/// Failure: for seconds after a power loss of all VMs, upstreams idle while requests wait until their deadlines expire. An
+/// upstream that has just started takes twice its usual time for several seconds. Its node must not count this as a slow period of
+/// 200 ms that is worth waiting out.
 #[test]
 fn record_slow_since_start() {
     let mut history = SlowdownHistory::default();
@@ -42,8 +42,8 @@
     assert_eq!(warm.baseline_percent, 100);
 }
 
-/// Failure: a VM that stays slow gets no work at all, though the other VMs can't take all of it. The node waits for the end of a slow
-/// period that doesn't end.
+/// Failure: a VM that stays slow gets no work at all, though the other VMs can't take all of it. The node waits for the end of a
+/// slow period that doesn't end.
 #[test]
 fn record_lasting_slowdown() {
     let mut history = SlowdownHistory::default();
