--- a/examples/route_lookup.rs
+++ b/examples/route_lookup.rs
@@ -45,7 +45,7 @@
     let began = Instant::now();
     while began.elapsed() < span {
         for path in &paths {
-            let route = black_box(&index).find(HOST, black_box(path));
+            let route = black_box(&index).find_route(HOST, black_box(path));
             found += u128::from(route.is_some());
         }
         lookups += paths.len() as u128;
--- a/src/coordination/publishing.rs
+++ b/src/coordination/publishing.rs
@@ -117,7 +117,7 @@
         },
         configuration: request.configuration.clone(),
         earlier: newest
-            .map(PublishedRecord::list_for_next)
+            .map(PublishedRecord::list_earlier_for_next)
             .unwrap_or_default(),
     }
 }
--- a/src/proxy/directory.rs
+++ b/src/proxy/directory.rs
@@ -67,7 +67,7 @@
 
     /// Puts a table in force if it is newer than the present one. Returns whether it was.
     pub fn apply_table(&mut self, table: RoutingTable) -> bool {
-        self.tables.take(table)
+        self.tables.replace_if_newer(table)
     }
 
     /// Builds the table that results when a change is applied to the one in force.
--- a/src/proxy/entry.rs
+++ b/src/proxy/entry.rs
@@ -172,7 +172,7 @@
     let Some(routes) = core.routes() else {
         return RequestOutcome::Refused(RefusalReason::NoUpstream, NO_ROUTES_RETRY_AFTER);
     };
-    let Some(route) = routes.find(req.host(), req.uri.path()).cloned() else {
+    let Some(route) = routes.find_route(req.host(), req.uri.path()).cloned() else {
         return refuse_without_route(core);
     };
     drop(routes);
--- a/src/proxy/executing/warmup.rs
+++ b/src/proxy/executing/warmup.rs
@@ -7,7 +7,7 @@
         events::{ProxyEvent, in_millis},
         executing::slowdown::ask_for_pace,
     },
-    state::{names::ServiceName, routing_table::ColdService},
+    state::{names::ServiceName, routing_table::WarmUpLimit},
 };
 use http::HeaderMap;
 use std::{rc::Rc, time::Duration};
@@ -23,7 +23,7 @@
     let limit = core.limits().slow_start.limit(cold.requests_per_minute);
     let told = WarmupReport {
         remaining: left,
-        total: cold.lasts,
+        total: cold.duration,
         limit,
     };
     let now = core.timers.now();
@@ -69,6 +69,6 @@
     ask_for_pace(core).await;
 }
 
-fn find_cold_service(core: &ProxyCore, service: &ServiceName) -> Option<ColdService> {
-    core.routes()?.find_service(service)?.when_cold
+fn find_cold_service(core: &ProxyCore, service: &ServiceName) -> Option<WarmUpLimit> {
+    core.routes()?.find_service(service)?.warm_up
 }
--- a/src/proxy/table_fetching.rs
+++ b/src/proxy/table_fetching.rs
@@ -139,8 +139,10 @@
             error: error.to_string(),
         });
         let since = match error {
-            ChangeError::Base(_) => core.directory.borrow().version(),
-            ChangeError::Terms(_) | ChangeError::Digest => ConfigurationVersion::default(),
+            ChangeError::BaseMismatch(_) => core.directory.borrow().version(),
+            ChangeError::MissingTerms(_) | ChangeError::ChecksumMismatch => {
+                ConfigurationVersion::default()
+            }
         };
         // If this fails too, the table comes from the next node or from the store.
         let _ = fetch_since(core, from, since).await;
--- a/src/state/configuration.rs
+++ b/src/state/configuration.rs
@@ -2,7 +2,7 @@
 
 use crate::state::{
     names::{ClassName, ServiceName},
-    routing_table::{ClientLimits, Route, RoutingTable, ServiceFacts, WeightedService},
+    routing_table::{ClientLimits, Route, RoutingTable, ServiceConfiguration, WeightedService},
 };
 use arcstr::ArcStr;
 use serde::{Deserialize, Serialize};
@@ -96,10 +96,10 @@
     /// The routing table that nodes put in force.
     #[must_use]
     pub fn build_table(&self, version: ConfigurationVersion) -> RoutingTable {
-        let facts = |service: &ServiceEntry| ServiceFacts {
+        let facts = |service: &ServiceEntry| ServiceConfiguration {
             name: service.name.clone(),
             health_path: service.health_path.clone(),
-            when_cold: None,
+            warm_up: None,
         };
         RoutingTable {
             version,
--- a/src/state/published.rs
+++ b/src/state/published.rs
@@ -44,7 +44,7 @@
 
     /// The publications that the next record is to remember.
     #[must_use]
-    pub fn list_for_next(&self) -> Vec<PublicationEntry> {
+    pub fn list_earlier_for_next(&self) -> Vec<PublicationEntry> {
         self.entries().take(REMEMBERED).cloned().collect()
     }
 }
--- a/src/state/routing_table.rs
+++ b/src/state/routing_table.rs
@@ -66,23 +66,24 @@
 
 /// What operators tell of a service.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct ServiceFacts {
+pub struct ServiceConfiguration {
     /// The service.
     pub name: ServiceName,
     /// Path on which its upstreams answer whether they are well, and with what load.
     pub health_path: ArcStr,
     /// What its upstreams tolerate when they are cold; none if that is as much as when they are warm.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub when_cold: Option<ColdService>,
+    #[serde(rename = "when_cold", default, skip_serializing_if = "Option::is_none")]
+    pub warm_up: Option<WarmUpLimit>,
 }
 
 /// What operators tell of the upstreams of a service that are cold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct ColdService {
+pub struct WarmUpLimit {
     /// Requests a minute that one of them tolerates.
     pub requests_per_minute: u32,
     /// How long it is cold.
-    pub lasts: Duration,
+    #[serde(rename = "lasts")]
+    pub duration: Duration,
 }
 
 /// Bounds on what clients send and how long they take.
@@ -111,7 +112,7 @@
     /// All routes, in no particular order.
     pub routes: Vec<Rc<Route>>,
     /// All services.
-    pub services: Vec<ServiceFacts>,
+    pub services: Vec<ServiceConfiguration>,
     /// Bounds on clients.
     pub limits: ClientLimits,
 }
@@ -142,14 +143,14 @@
 
     /// What operators tell of a service.
     #[must_use]
-    pub fn find_service(&self, service: &ServiceName) -> Option<&ServiceFacts> {
+    pub fn find_service(&self, service: &ServiceName) -> Option<&ServiceConfiguration> {
         let mut services = self.table.services.iter();
         services.find(|facts| facts.name == *service)
     }
 
     /// The route with the longest prefix of `path` among those of `host`. A port is ignored.
     #[must_use]
-    pub fn find(&self, host: &str, path: &str) -> Option<&Rc<Route>> {
+    pub fn find_route(&self, host: &str, path: &str) -> Option<&Rc<Route>> {
         let name = host.rsplit_once(':').map_or(host, |(name, _port)| name);
         let routes = match self.hosts.get(name) {
             Some(routes) => routes,
--- a/src/state/table_change.rs
+++ b/src/state/table_change.rs
@@ -7,7 +7,7 @@
 use crate::state::{
     configuration::ConfigurationVersion,
     names::ClassName,
-    routing_table::{ClientLimits, Route, RoutingTable, ServiceFacts, WeightedService},
+    routing_table::{ClientLimits, Route, RoutingTable, ServiceConfiguration, WeightedService},
 };
 use arcstr::ArcStr;
 use serde::{Deserialize, Serialize};
@@ -28,13 +28,13 @@
 pub enum ChangeError {
     /// It changes a version that is not in force here.
     #[error("it changes version {0}, which is not in force here")]
-    Base(u64),
+    BaseMismatch(u64),
     /// A route refers to terms that the change does not hold.
     #[error("terms {0} are missing")]
-    Terms(usize),
+    MissingTerms(usize),
     /// What comes of it is not the table that it was made from.
     #[error("the digest of what comes of it differs")]
-    Digest,
+    ChecksumMismatch,
 }
 
 /// What routes of a class of work have in common beside name and place.
@@ -125,7 +125,7 @@
     terms: Vec<RouteTerms>,
     hosts: BTreeMap<ArcStr, HostChange>,
     /// All services; none if they are those of the base.
-    services: Option<Vec<ServiceFacts>>,
+    services: Option<Vec<ServiceConfiguration>>,
     limits: ClientLimits,
 }
 
@@ -185,7 +185,7 @@
         for (host, change) in &self.hosts {
             for placed in &change.placed {
                 let terms = self.terms.get(placed.terms);
-                let terms = terms.ok_or(ChangeError::Terms(placed.terms))?;
+                let terms = terms.ok_or(ChangeError::MissingTerms(placed.terms))?;
                 let route = terms.build_route(host, placed);
                 table.routes.push(Rc::new(route));
             }
@@ -193,7 +193,7 @@
         // What a whole table holds doesn't rest on what is known here, and a node of another release may work its digest out
         // otherwise.
         if base.is_some() && digest_table(&table) != self.digest {
-            return Err(ChangeError::Digest);
+            return Err(ChangeError::ChecksumMismatch);
         }
         Ok(table)
     }
@@ -207,7 +207,7 @@
         };
         match base.filter(|base| base.version == wanted) {
             Some(base) => Ok(Some(base)),
-            None => Err(ChangeError::Base(wanted.0)),
+            None => Err(ChangeError::BaseMismatch(wanted.0)),
         }
     }
 }
--- a/src/state/table_history.rs
+++ b/src/state/table_history.rs
@@ -44,7 +44,7 @@
     ///
     /// Versions reach a node by several ways. Without this check a late copy would undo a change
     /// that an upstream has already seen the effect of.
-    pub fn take(&mut self, mut table: RoutingTable) -> bool {
+    pub fn replace_if_newer(&mut self, mut table: RoutingTable) -> bool {
         if table.version <= self.version() {
             return false;
         }
--- a/tests/integration/options.rs
+++ b/tests/integration/options.rs
@@ -136,11 +136,11 @@
     let index = RouteIndex::new(sample.build_table(ConfigurationVersion(7)));
     assert_eq!(index.table().version, ConfigurationVersion(7));
     let host = "Frontdesk.kneadwise.example:80";
-    let booking = index.find(host, "/bookings/7").expect("a route");
+    let booking = index.find_route(host, "/bookings/7").expect("a route");
     assert_eq!(booking.class.as_str(), "bookings");
     assert_eq!(booking.target, Duration::from_millis(400));
     assert!(!booking.idempotent);
-    let lookup = index.find(host, "/slots").expect("a route");
+    let lookup = index.find_route(host, "/slots").expect("a route");
     assert_eq!(lookup.class.as_str(), "lookups");
     assert_eq!(
         lookup.pick_service(0.95).map(ServiceName::as_str),
--- a/tests/integration/proxy_decisions.rs
+++ b/tests/integration/proxy_decisions.rs
@@ -104,7 +104,7 @@
     let index = RouteIndex::new(table(1));
     let class = |host: &str, path: &str| {
         index
-            .find(host, path)
+            .find_route(host, path)
             .map(|route| route.class.as_str().to_owned())
     };
     assert_eq!(class("shop.example", "/a/b/c").as_deref(), Some("part"));
--- a/tests/integration/routing_table.rs
+++ b/tests/integration/routing_table.rs
@@ -75,7 +75,7 @@
 
 fn classes_at<'a>(index: &'a RouteIndex, paths: &[&str]) -> Vec<&'a str> {
     let class = |path: &&str| {
-        let found = index.find("shop.example", path);
+        let found = index.find_route("shop.example", path);
         found.map_or("none", |route| route.class.as_str())
     };
     paths.iter().map(class).collect()
@@ -96,7 +96,7 @@
             for path in paths.iter().map(|path| spell(path)).chain(below) {
                 for asked in ASKED {
                     assert_eq!(
-                        index.find(asked, &path),
+                        index.find_route(asked, &path),
                         search(&table, asked, &path),
                         "{asked} {path}"
                     );
--- a/tests/integration/table_change.rs
+++ b/tests/integration/table_change.rs
@@ -5,7 +5,7 @@
 use camphorturn::state::{
     configuration::ConfigurationVersion,
     names::{ClassName, ServiceName},
-    routing_table::{ClientLimits, Route, RoutingTable, ServiceFacts, WeightedService},
+    routing_table::{ClientLimits, Route, RoutingTable, ServiceConfiguration, WeightedService},
     table_change::{ChangeError, TableChange},
     table_history::TableHistory,
 };
@@ -68,11 +68,11 @@
     ServiceName::from(format!("service-{}", number % 4).as_str())
 }
 
-fn build_service(number: u8) -> ServiceFacts {
-    ServiceFacts {
+fn build_service(number: u8) -> ServiceConfiguration {
+    ServiceConfiguration {
         name: service_name(number),
         health_path: ArcStr::from("/health"),
-        when_cold: None,
+        warm_up: None,
     }
 }
 
@@ -170,7 +170,7 @@
         match over_json(&change).apply(Some(&base)) {
             Ok(applied) => assert_eq!(sorted(applied), sorted(table)),
             Err(error) => {
-                assert_eq!(error, ChangeError::Digest);
+                assert_eq!(error, ChangeError::ChecksumMismatch);
                 assert!(has_twins(&base) || has_twins(&table));
             }
         }
@@ -220,8 +220,11 @@
                 assert_eq!(sorted(applied), sorted(table));
             }
             other.version = ConfigurationVersion(6);
-            assert_eq!(change.apply(Some(&other)), Err(ChangeError::Base(7)));
-            assert_eq!(change.apply(None), Err(ChangeError::Base(7)));
+            assert_eq!(
+                change.apply(Some(&other)),
+                Err(ChangeError::BaseMismatch(7))
+            );
+            assert_eq!(change.apply(None), Err(ChangeError::BaseMismatch(7)));
         });
 }
 
@@ -316,7 +319,10 @@
         let count = value[member].as_u64().expect("a number");
         value[member] = (count ^ 1).into();
         let tampered: TableChange = serde_json::from_value(value).expect("a change");
-        assert_eq!(tampered.apply(Some(&base)), Err(ChangeError::Digest));
+        assert_eq!(
+            tampered.apply(Some(&base)),
+            Err(ChangeError::ChecksumMismatch)
+        );
     }
 }
 
@@ -327,7 +333,7 @@
         for version in versions {
             let before = history.version();
             let version = ConfigurationVersion(u64::from(*version % 32));
-            let taken = history.take(numbered_table(version.0));
+            let taken = history.replace_if_newer(numbered_table(version.0));
             assert_eq!(taken, version > before);
             assert_eq!(history.version(), version.max(before));
             let routes = history.current().map_or(0, |now| now.table().routes.len());
@@ -342,7 +348,7 @@
     let mut history = TableHistory::default();
     assert_eq!(history.change_since(ConfigurationVersion(0)), None);
     for version in 1..=LAST {
-        history.take(numbered_table(version));
+        history.replace_if_newer(numbered_table(version));
     }
     let expected = sorted(numbered_table(LAST));
     for version in 0..LAST {
@@ -364,7 +370,7 @@
 fn change_since_after_take() {
     let mut history = TableHistory::default();
     for version in 1..=6 {
-        history.take(numbered_table(version));
+        history.replace_if_newer(numbered_table(version));
         for older in 0..version {
             let change = history.change_since(ConfigurationVersion(older));
             let leads_to = change.map(|change| change.version);
@@ -377,11 +383,11 @@
 #[test]
 fn take_shares_routes() {
     let mut history = TableHistory::default();
-    history.take(numbered_table(5));
+    history.replace_if_newer(numbered_table(5));
     let first = Rc::clone(history.current().expect("a table"));
     let mut next = numbered_table(6);
     Rc::make_mut(&mut next.routes[2]).priority = 0;
-    history.take(next);
+    history.replace_if_newer(next);
     let second = history.current().expect("a table");
     for place in [0, 1, 3, 4] {
         let (before, now) = (&first.table().routes[place], &second.table().routes[place]);
--- a/tests/integration/table_spreading/tables.rs
+++ b/tests/integration/table_spreading/tables.rs
@@ -6,7 +6,7 @@
     state::{
         configuration::ConfigurationVersion,
         names::{ClassName, ServiceName},
-        routing_table::{ClientLimits, Route, RoutingTable, ServiceFacts, WeightedService},
+        routing_table::{ClientLimits, Route, RoutingTable, ServiceConfiguration, WeightedService},
         table_history::TableHistory,
     },
 };
@@ -23,11 +23,11 @@
     }
 }
 
-pub fn build_service(number: usize) -> ServiceFacts {
-    ServiceFacts {
+pub fn build_service(number: usize) -> ServiceConfiguration {
+    ServiceConfiguration {
         name: service_name(number),
         health_path: ArcStr::from("/health"),
-        when_cold: None,
+        warm_up: None,
     }
 }
 
@@ -103,7 +103,7 @@
         *sizes.entry((since.0, has.0)).or_insert_with(|| {
             let mut history = TableHistory::default();
             for table in self.versions.iter().filter(|table| table.version <= has) {
-                history.take(table.clone());
+                history.replace_if_newer(table.clone());
             }
             encode_change(&mut history, since)
         })
