--- a/src/proxy/crash_detection.rs
+++ b/src/proxy/crash_detection.rs
@@ -1,7 +1,8 @@
-//! Detects requests that crash the upstreams which run them, and quarantines these requests.
+//! Detects requests that crash the upstreams which execute them, and quarantines these requests.
 //!
-//! The node beside an upstream detects its crash and reports it to the keepers of each request that was aborted. Keepers count the
-//! crashes; one that reaches the threshold propagates the quarantine to all nodes and writes it to the store for nodes that start later.
+//! The node of an upstream detects its crash and reports it to the crash counters of each aborted request. Crash counters are nodes
+//! that count the crashes under a request. One that reaches the threshold propagates the quarantine to all nodes and writes it to the
+//! store for nodes that start later.
 
 use crate::{
     coordination::crash_counters::{CRASH_COUNTERS, order_crash_counters},
@@ -28,178 +29,192 @@
 };
 use tokio::task::spawn_local;
 
-/// Nodes that are tried until enough keepers have taken a message. Records outlast their nodes by half an hour.
-const MAX_TRIED: usize = 12;
+/// Maximum number of nodes tried until enough crash counters have accepted a message. Some may be gone: node records remain for half
+/// an hour after the end of their nodes.
+const MAX_NODES_TRIED: usize = 12;
 
 /// A request that was aborted at an upstream.
 pub struct AbortedRequest {
-    /// Its identity, for the log.
-    pub request: String,
-    /// What it asks for.
-    pub digest: RequestFingerprint,
-    /// The run of the upstream.
-    pub run: IncarnationId,
-    /// Its service.
+    /// Request ID, for the log.
+    pub request_id: String,
+    /// Identifies requests with the same content.
+    pub fingerprint: RequestFingerprint,
+    /// Incarnation of the upstream that executed the request.
+    pub incarnation: IncarnationId,
+    /// Service of the upstream.
     pub service: ServiceName,
 }
 
-/// Probes the local upstream after a connection closed without a response, and reports a crash to the request's keepers.
+/// Probes the local upstream after a connection closed without a response, and reports a crash to the request's crash counters.
+/// Returns whether the upstream has crashed.
 ///
 /// Upstreams also close connections when they are full or lose a response, and keep running.
-pub async fn detect_crash(core: &Rc<ProxyCore>, cut: AbortedRequest) -> bool {
+pub async fn detect_crash(core: &Rc<ProxyCore>, aborted: AbortedRequest) -> bool {
     let (tx, rx) = flume::bounded(1);
     let core = Rc::clone(core);
     // Continues after a client disconnect: the request of that client may have caused the crash.
     spawn_local(async move {
-        let crashed = !leaves(&core, &cut.run)
-            && has_incarnation_ended(&core, &cut.service, &cut.run.instance).await;
+        let crashed = !is_draining(&core, &aborted.incarnation)
+            && has_incarnation_ended(&core, &aborted.service, &aborted.incarnation.instance).await;
         if crashed {
-            report_crash(&core, cut);
+            report_crash(&core, aborted);
         }
-        // The receiver is gone after a client disconnect.
+        // The receiver is dropped when the client disconnects.
         let _ = tx.send(crashed);
     });
     rx.recv_async().await.unwrap_or(false)
 }
 
 /// A draining upstream ends as planned, which is no crash.
-fn leaves(core: &ProxyCore, run: &IncarnationId) -> bool {
-    let own = core.local_upstream.borrow();
-    let current = own.current();
-    current.is_some_and(|current| current.identity == *run && current.leaving)
+fn is_draining(core: &ProxyCore, incarnation: &IncarnationId) -> bool {
+    let upstream = core.local_upstream.borrow();
+    let current = upstream.current();
+    current.is_some_and(|current| current.identity == *incarnation && current.leaving)
 }
 
-fn report_crash(core: &Rc<ProxyCore>, cut: AbortedRequest) {
+fn report_crash(core: &Rc<ProxyCore>, aborted: AbortedRequest) {
     let AbortedRequest {
-        request,
-        digest,
-        run,
+        request_id,
+        fingerprint,
+        incarnation,
         ..
-    } = cut;
+    } = aborted;
     increment(&core.counters.aborted_by_crash);
-    let answered_before = core.answered_requests.borrow().contains(&run, digest);
+    let answered_before = core
+        .answered_requests
+        .borrow()
+        .contains(&incarnation, fingerprint);
     core.log(&ProxyEvent::UpstreamCrashed {
-        instance: run.instance.clone(),
-        request,
-        digest,
+        instance: incarnation.instance.clone(),
+        request: request_id,
+        digest: fingerprint,
         answered_before,
     });
     if answered_before || Mechanism::Quarantine.is_disabled() {
         return;
     }
-    tell_keepers(
+    notify_crash_counters(
         core,
-        digest,
+        fingerprint,
         CrashFinding::Crashed {
-            fingerprint: digest,
-            incarnation: run,
+            fingerprint,
+            incarnation,
         },
     );
 }
 
-/// Records a response from the local upstream.
-pub fn note_answered_here(core: &Rc<ProxyCore>, digest: RequestFingerprint, run: &IncarnationId) {
-    core.answered_requests.borrow_mut().insert(run, digest);
-    if find_quarantine(core, digest).is_some() {
-        let finding = CrashFinding::Answered(digest);
+/// Records that the local upstream has answered a request. If the request is in quarantine, the quarantine is lifted at all nodes.
+pub fn record_local_answer(
+    core: &Rc<ProxyCore>,
+    fingerprint: RequestFingerprint,
+    incarnation: &IncarnationId,
+) {
+    core.answered_requests
+        .borrow_mut()
+        .insert(incarnation, fingerprint);
+    if find_quarantine(core, fingerprint).is_some() {
+        let finding = CrashFinding::Answered(fingerprint);
         apply_finding(core, &finding);
-        tell_all(core, finding);
+        propagate_to_all(core, finding);
     }
 }
 
-/// Clears the suspicion against a request that was answered after another upstream had crashed while running it.
-pub fn clear_suspect(core: &Rc<ProxyCore>, digest: RequestFingerprint) {
-    tell_keepers(core, digest, CrashFinding::Answered(digest));
+/// Reports to the crash counters of a request that it was answered after another upstream had crashed while executing it.
+pub fn clear_suspect(core: &Rc<ProxyCore>, fingerprint: RequestFingerprint) {
+    notify_crash_counters(core, fingerprint, CrashFinding::Answered(fingerprint));
 }
 
 /// The remaining quarantine time of a request; none if it is not in quarantine.
 #[must_use]
-pub fn find_quarantine(core: &ProxyCore, digest: RequestFingerprint) -> Option<Duration> {
+pub fn find_quarantine(core: &ProxyCore, fingerprint: RequestFingerprint) -> Option<Duration> {
     core.quarantine
         .borrow()
-        .time_left(digest, core.timers.now())
+        .time_left(fingerprint, core.timers.now())
 }
 
-/// Applies a finding that another node reports.
+/// Applies a finding about a request: a counted crash, a quarantine or an answer.
 pub fn apply_finding(core: &Rc<ProxyCore>, finding: &CrashFinding) {
     match finding {
         CrashFinding::Crashed {
-            fingerprint: digest,
-            incarnation: run,
-        } => count_crash(core, *digest, run),
-        CrashFinding::Quarantined(digest) => {
-            put_in_quarantine(core, *digest, QuarantineSource::Reported);
+            fingerprint,
+            incarnation,
+        } => count_crash(core, *fingerprint, incarnation),
+        CrashFinding::Quarantined(fingerprint) => {
+            quarantine_request(core, *fingerprint, QuarantineSource::Reported);
         }
-        CrashFinding::Answered(digest) => take_answered(core, *digest),
+        CrashFinding::Answered(fingerprint) => apply_answered(core, *fingerprint),
     }
 }
 
-/// Applies a quarantine read from the store; true if it was not known.
-pub fn apply_stored_quarantine(core: &Rc<ProxyCore>, digest: RequestFingerprint) -> bool {
-    put_in_quarantine(core, digest, QuarantineSource::Reported)
+/// Applies a quarantine read from the store. Returns whether it was unknown.
+pub fn apply_stored_quarantine(core: &Rc<ProxyCore>, fingerprint: RequestFingerprint) -> bool {
+    quarantine_request(core, fingerprint, QuarantineSource::Reported)
 }
 
-/// Writes again the quarantines that the store lost when it came back from a copy, and drops those that it has again though they were
-/// lifted. One node of the mesh does.
+/// Corrects the quarantines in the store after its restore from a copy: writes those that the copy lacks and deletes those that were
+/// lifted since. Only the mesh coordinator does so. `stored` holds the quarantines in the copy.
 pub fn write_lost_quarantines(core: &ProxyCore, stored: &BTreeSet<RequestFingerprint>) {
     if !core.is_mesh_coordinator() {
         return;
     }
     let now = core.timers.now();
-    for digest in core.quarantine.borrow().list_differences(stored, now) {
-        write(core, digest);
+    for fingerprint in core.quarantine.borrow().list_differences(stored, now) {
+        queue_store_write(core, fingerprint);
     }
 }
 
 /// Propagates a quarantine to the zone, for nodes that were partitioned when it began.
-pub fn propagate_quarantine_to_zone(core: &Rc<ProxyCore>, digest: RequestFingerprint) {
-    tell(
+pub fn propagate_quarantine_to_zone(core: &Rc<ProxyCore>, fingerprint: RequestFingerprint) {
+    propagate(
         core,
         &core.list_zone_nodes(),
-        CrashFinding::Quarantined(digest),
+        CrashFinding::Quarantined(fingerprint),
     );
 }
 
-fn put_in_quarantine(
+fn quarantine_request(
     core: &Rc<ProxyCore>,
-    digest: RequestFingerprint,
+    fingerprint: RequestFingerprint,
     source: QuarantineSource,
 ) -> bool {
     let now = core.timers.now();
-    let news = core.quarantine.borrow_mut().insert(digest, source, now);
-    if news {
+    let is_new = core
+        .quarantine
+        .borrow_mut()
+        .insert(fingerprint, source, now);
+    if is_new {
         core.log(&ProxyEvent::RequestQuarantined {
-            digest,
+            digest: fingerprint,
             source: source.name(),
         });
-        drop_when_over(core, digest);
+        delete_when_expired(core, fingerprint);
     }
-    news
+    is_new
 }
 
-fn count_crash(core: &Rc<ProxyCore>, digest: RequestFingerprint, run: &IncarnationId) {
+fn count_crash(core: &Rc<ProxyCore>, fingerprint: RequestFingerprint, incarnation: &IncarnationId) {
     let now = core.timers.now();
-    let mut suspects = core.crash_counts.borrow_mut();
-    let crashes = suspects.record_crash(digest, run.clone(), now);
-    drop(suspects);
+    let mut crash_counts = core.crash_counts.borrow_mut();
+    let crashes = crash_counts.record_crash(fingerprint, incarnation.clone(), now);
+    drop(crash_counts);
     core.log(&ProxyEvent::CrashCounted {
-        digest,
-        instance: run.instance.clone(),
+        digest: fingerprint,
+        instance: incarnation.instance.clone(),
         crashes,
     });
     if crashes >= QUARANTINE_CRASH_THRESHOLD
-        && put_in_quarantine(core, digest, QuarantineSource::Counted)
+        && quarantine_request(core, fingerprint, QuarantineSource::Counted)
     {
-        tell_all(core, CrashFinding::Quarantined(digest));
-        write(core, digest);
+        propagate_to_all(core, CrashFinding::Quarantined(fingerprint));
+        queue_store_write(core, fingerprint);
     }
 }
 
-fn tell_all(core: &Rc<ProxyCore>, finding: CrashFinding) {
-    tell(core, &list_receivers(core), finding);
+fn propagate_to_all(core: &Rc<ProxyCore>, finding: CrashFinding) {
+    propagate(core, &list_receivers(core), finding);
 }
 
-fn tell(core: &Rc<ProxyCore>, receivers: &[SocketAddr], finding: CrashFinding) {
+fn propagate(core: &Rc<ProxyCore>, receivers: &[SocketAddr], finding: CrashFinding) {
     let message = StateMessage {
         finding: Some(Rc::new(finding)),
         ..StateMessage::default()
@@ -207,51 +222,58 @@
     send_along_tree(core, receivers, &message);
 }
 
-/// Drops an expired quarantine from the store. Otherwise a node that starts later would begin it anew.
-fn drop_when_over(core: &Rc<ProxyCore>, digest: RequestFingerprint) {
+/// Deletes a quarantine from the store when it has expired. Otherwise a node that starts later would begin it again.
+fn delete_when_expired(core: &Rc<ProxyCore>, fingerprint: RequestFingerprint) {
     let core = Rc::clone(core);
     spawn_local(async move {
         let _ = core.timers.after(QUARANTINE_DURATION).recv_async().await;
         if core.is_mesh_coordinator() {
-            write(&core, digest);
+            queue_store_write(&core, fingerprint);
         }
     });
 }
 
-/// Schedules a write of the present quarantine state of a request to the store.
-fn write(core: &ProxyCore, digest: RequestFingerprint) {
+/// Queues a write of the current quarantine state of a request to the store.
+fn queue_store_write(core: &ProxyCore, fingerprint: RequestFingerprint) {
     // The receiver lives as long as the sender.
-    let _ = core.quarantine_writes.0.send(digest);
+    let _ = core.quarantine_writes.0.send(fingerprint);
 }
 
-fn take_answered(core: &ProxyCore, digest: RequestFingerprint) {
-    core.crash_counts.borrow_mut().record_answer(digest);
+fn apply_answered(core: &ProxyCore, fingerprint: RequestFingerprint) {
+    core.crash_counts.borrow_mut().record_answer(fingerprint);
     let now = core.timers.now();
-    let lifted = core.quarantine.borrow_mut().lift(digest, now);
+    let lifted = core.quarantine.borrow_mut().lift(fingerprint, now);
     let Some(source) = lifted else {
         return;
     };
-    core.log(&ProxyEvent::QuarantineLifted { digest });
+    core.log(&ProxyEvent::QuarantineLifted {
+        digest: fingerprint,
+    });
     if source == QuarantineSource::Counted || core.is_mesh_coordinator() {
-        write(core, digest);
+        queue_store_write(core, fingerprint);
     }
 }
 
-fn tell_keepers(core: &Rc<ProxyCore>, digest: RequestFingerprint, finding: CrashFinding) {
-    let mut order = order_crash_counters(digest, list_nodes(core).into_iter());
-    order.truncate(MAX_TRIED);
-    let rest = Rc::new(RefCell::new(order.into_iter()));
+fn notify_crash_counters(
+    core: &Rc<ProxyCore>,
+    fingerprint: RequestFingerprint,
+    finding: CrashFinding,
+) {
+    let mut order = order_crash_counters(fingerprint, list_all_nodes(core).into_iter());
+    order.truncate(MAX_NODES_TRIED);
+    let remaining = Rc::new(RefCell::new(order.into_iter()));
     let finding = Rc::new(finding);
     for _ in 0..CRASH_COUNTERS {
-        let (core, rest, finding) = (Rc::clone(core), Rc::clone(&rest), Rc::clone(&finding));
-        spawn_local(async move { tell_next(&core, &rest, finding).await });
+        let (core, remaining, finding) =
+            (Rc::clone(core), Rc::clone(&remaining), Rc::clone(&finding));
+        spawn_local(async move { notify_next_counter(&core, &remaining, finding).await });
     }
 }
 
 /// Sends a message to the first of the nodes that accepts it.
-async fn tell_next(
+async fn notify_next_counter(
     core: &Rc<ProxyCore>,
-    rest: &RefCell<IntoIter<SocketAddr>>,
+    remaining: &RefCell<IntoIter<SocketAddr>>,
     finding: Rc<CrashFinding>,
 ) {
     let message = StateMessage {
@@ -259,7 +281,7 @@
         ..StateMessage::default()
     };
     loop {
-        let Some(to) = rest.borrow_mut().next() else {
+        let Some(to) = remaining.borrow_mut().next() else {
             return;
         };
         if to == core.settings.peers {
@@ -272,7 +294,7 @@
 }
 
 /// All known nodes, including this one.
-fn list_nodes(core: &ProxyCore) -> Vec<SocketAddr> {
+fn list_all_nodes(core: &ProxyCore) -> Vec<SocketAddr> {
     let directory = core.directory.borrow();
     let mut nodes: Vec<SocketAddr> = directory.nodes.keys().copied().collect();
     if !directory.nodes.contains_key(&core.settings.peers) {
@@ -281,8 +303,8 @@
     nodes
 }
 
-/// All other nodes in random order, so that each keeper propagates along another tree and the loss of a forwarding node is compensated.
-/// Unreachable nodes come first, since messages are forwarded from the end.
+/// All other nodes in random order, so that each crash counter propagates along another tree and the loss of a forwarding node is
+/// compensated. Unreachable nodes come first, since messages are forwarded from the end.
 fn list_receivers(core: &ProxyCore) -> Vec<SocketAddr> {
     let directory = core.directory.borrow();
     let mut views: Vec<_> = directory.nodes.iter().collect();
--- a/src/proxy/executing.rs
+++ b/src/proxy/executing.rs
@@ -1,4 +1,4 @@
-//! Runs requests at the upstream beside the node, within its slots.
+//! Executes requests at the local upstream, within its slots.
 
 mod attempt_log_line;
 mod dispatch;
@@ -27,74 +27,74 @@
 use dispatch::dispatch;
 use http::Response;
 pub use probes::{has_incarnation_ended, probe_instance, verify_incarnation};
-use slots::{HeldSlot, wait_for_slot};
+use slots::{SlotGuard, wait_for_slot};
 pub use slots::{Slots, compute_slot_limit, refuse_queued_requests, set_slot_limit};
-use slowdown::refresh_pace;
+use slowdown::refresh_slowdown;
 use std::{rc::Rc, time::Duration};
 pub use warmup::record_warmup_left;
 use warmup::refresh_warmup;
 
-/// How an attempt at this node's upstream ended.
+/// The result of an attempt, from the local upstream or from another node.
 #[derive(Debug)]
 pub struct CompletedAttempt {
-    /// What is told to the node that asked.
+    /// The answer to the node that sent the attempt.
     pub answer: HopAnswer,
-    /// The upstream's answer, if there is one.
+    /// The response of the upstream; none unless the outcome is "answered".
     pub response: Option<Response<Bytes>>,
 }
 
-/// Runs a request at the upstream beside this node, or refuses it. Dropping the future takes it out
-/// of the queue, or closes its connection to the upstream.
+/// Executes a request at the local upstream, or refuses it. Dropping the future removes the request from the queue, or closes its
+/// connection to the upstream.
 pub async fn execute(
     core: &Rc<ProxyCore>,
     hop: &HopRequest,
     req: CallerRequest,
 ) -> CompletedAttempt {
-    let digest = req.compute_fingerprint();
-    let mut line = AttemptLogLine::begin(core, hop, &req, digest);
-    let executed = execute_logged(core, hop, req, digest, &mut line).await;
-    line.end(&executed);
-    executed
+    let fingerprint = req.compute_fingerprint();
+    let mut line = AttemptLogLine::new(core, hop, &req, fingerprint);
+    let completed = execute_with_log(core, hop, req, fingerprint, &mut line).await;
+    line.write_result(&completed);
+    completed
 }
 
-async fn execute_logged(
+async fn execute_with_log(
     core: &Rc<ProxyCore>,
     hop: &HopRequest,
     req: CallerRequest,
-    digest: RequestFingerprint,
+    fingerprint: RequestFingerprint,
     line: &mut AttemptLogLine,
 ) -> CompletedAttempt {
     let arrived = core.timers.now();
-    if let Some((reason, finish)) = find_refusal(core, hop, digest) {
-        return refuse(core, reason, finish);
+    if let Some((reason, finish_or_wait)) = find_refusal(core, hop, fingerprint) {
+        return refuse(core, reason, finish_or_wait);
     }
     if hop.is_retry && !has_call_budget(core, &hop.class) {
         return refuse(core, RefusalReason::RetryBudgetExhausted, Duration::ZERO);
     }
-    refresh_pace(core).await;
+    refresh_slowdown(core).await;
     refresh_warmup(core).await;
-    line.note_decision();
-    let number = match offer(core, hop, arrived) {
+    line.record_decision();
+    let number = match request_slot(core, hop, arrived) {
         SlotDecision::Run(number) => number,
         SlotDecision::Refuse { finish_in } => {
             return refuse(core, RefusalReason::QueueFull, finish_in);
         }
         SlotDecision::Wait(number) => {
             if !wait_for_slot(core, number).await {
-                let (reason, finish) = find_refusal(core, hop, digest)
+                let (reason, finish_or_wait) = find_refusal(core, hop, fingerprint)
                     .unwrap_or((RefusalReason::DeadlineTooShort, hop.time_left));
-                return refuse(core, reason, finish);
+                return refuse(core, reason, finish_or_wait);
             }
             number
         }
     };
-    let slot = HeldSlot::new(core, number);
-    // While the request waited, the upstream may have left, or crashes of others under such a request have been told.
-    if let Some((reason, finish)) = find_refusal(core, hop, digest) {
-        return refuse(core, reason, finish);
+    let slot = SlotGuard::new(core, number);
+    // While the request waited, the upstream may have started to drain, or the request may have been quarantined.
+    if let Some((reason, finish_or_wait)) = find_refusal(core, hop, fingerprint) {
+        return refuse(core, reason, finish_or_wait);
     }
     let waited = core.timers.now().since(arrived);
-    line.note_start(waited);
+    line.record_start(waited);
     let Some(time_left) = hop.time_left.checked_sub(waited) else {
         return refuse(core, RefusalReason::DeadlinePassed, Duration::ZERO);
     };
@@ -102,22 +102,22 @@
         return refuse(core, RefusalReason::RetryBudgetExhausted, Duration::ZERO);
     }
     increment(&core.counters.executed);
-    let started = core
+    let execution = core
         .calls_per_execution
         .borrow_mut()
         .record_start(&hop.class, core.timers.now());
-    let (outcome, response) = dispatch(core, hop, req, digest, time_left).await;
+    let (outcome, response) = dispatch(core, hop, req, fingerprint, time_left).await;
     drop(slot);
     core.calls_per_execution
         .borrow_mut()
-        .record_end(&hop.class, &started);
+        .record_end(&hop.class, &execution);
     CompletedAttempt {
-        answer: describe(core, outcome, waited),
+        answer: build_answer(core, outcome, waited),
         response,
     }
 }
 
-fn offer(core: &ProxyCore, hop: &HopRequest, arrived: Timestamp) -> SlotDecision {
+fn request_slot(core: &ProxyCore, hop: &HopRequest, arrived: Timestamp) -> SlotDecision {
     let now = core.timers.now();
     let spent = now.since(arrived);
     let request = SlotRequest {
@@ -125,26 +125,26 @@
         finish_within: hop.finish_within.saturating_sub(spent),
         target_left: hop.target_left.saturating_sub(spent),
         time_left: hop.time_left.saturating_sub(spent),
-        expected: core.slots.expect(&hop.class),
+        expected: core.slots.expected_time(&hop.class),
     };
     core.slots.queue.borrow_mut().submit(request, now)
 }
 
-/// Why a request is not run, and the time after which it could be, if that is known.
+/// Why a request is refused, and the time after which it may be accepted; zero if that is unknown.
 fn find_refusal(
     core: &ProxyCore,
     hop: &HopRequest,
-    digest: RequestFingerprint,
+    fingerprint: RequestFingerprint,
 ) -> Option<(RefusalReason, Duration)> {
-    // Its clients ask again, each time under another identity and at other nodes. Without what is known of the earlier crashes
-    // each of these attempts ends one more upstream, with all that it runs.
-    if let Some(left) = find_quarantine(core, digest) {
+    // Clients repeat a request that crashes upstreams under new request IDs and at other nodes. Without the quarantine each
+    // repetition would crash one more upstream and abort all requests that it executes.
+    if let Some(left) = find_quarantine(core, fingerprint) {
         return Some((RefusalReason::Quarantined, left));
     }
     find_unavailability_reason(core, hop).map(|reason| (reason, Duration::ZERO))
 }
 
-/// Why no work of that kind is taken.
+/// Why the local upstream accepts no request of this service now; none if it does.
 fn find_unavailability_reason(core: &ProxyCore, hop: &HopRequest) -> Option<RefusalReason> {
     if !accepts_work(core, hop.time_left) {
         return Some(RefusalReason::Draining);
@@ -152,11 +152,11 @@
     if core.evacuations.contains(&core.settings.availability_zone) {
         return Some(RefusalReason::Evacuated);
     }
-    let own = core.local_upstream.borrow();
-    match own.current() {
+    let upstream = core.local_upstream.borrow();
+    match upstream.current() {
         None => Some(RefusalReason::UpstreamDown),
-        Some(run) if run.service != hop.service => Some(RefusalReason::UnknownClass),
-        Some(run) if run.leaving => Some(RefusalReason::Draining),
+        Some(current) if current.service != hop.service => Some(RefusalReason::UnknownClass),
+        Some(current) if current.leaving => Some(RefusalReason::Draining),
         Some(_) if core.timers.now() < core.slots.paused_until.get() => {
             Some(RefusalReason::UpstreamDown)
         }
@@ -164,18 +164,18 @@
     }
 }
 
-fn refuse(core: &ProxyCore, reason: RefusalReason, finish: Duration) -> CompletedAttempt {
+fn refuse(core: &ProxyCore, reason: RefusalReason, finish_or_wait: Duration) -> CompletedAttempt {
     CompletedAttempt {
-        answer: describe(core, AttemptOutcome::Refused(reason), finish),
+        answer: build_answer(core, AttemptOutcome::Refused(reason), finish_or_wait),
         response: None,
     }
 }
 
-fn describe(core: &ProxyCore, outcome: AttemptOutcome, finish: Duration) -> HopAnswer {
+fn build_answer(core: &ProxyCore, outcome: AttemptOutcome, finish_or_wait: Duration) -> HopAnswer {
     HopAnswer {
         outcome,
         load: core.slots.load(),
         version: core.directory.borrow().version(),
-        finish_or_wait: finish,
+        finish_or_wait,
     }
 }
--- a/src/proxy/executing/attempt_log_line.rs
+++ b/src/proxy/executing/attempt_log_line.rs
@@ -1,4 +1,4 @@
-//! The line of the log about an attempt at this node's upstream.
+//! The log line about an attempt at the local upstream.
 
 use crate::{
     protocol::hop::{AttemptOutcome, HopRequest},
@@ -12,74 +12,74 @@
 };
 use std::{net::SocketAddr, rc::Rc, time::Duration};
 
-/// Collects what decided about an attempt. One that is dropped before its end tells that the client, or
-/// the node that asked, went away.
+/// Collects the facts of an attempt for its log line. If it is dropped before the line is written, the line says that the client, or
+/// the node that sent the attempt, disconnected.
 pub struct AttemptLogLine {
     core: Rc<ProxyCore>,
-    request: String,
-    digest: RequestFingerprint,
-    from: SocketAddr,
+    request_id: String,
+    fingerprint: RequestFingerprint,
+    sender: SocketAddr,
     class: ClassName,
     arrived: Timestamp,
-    /// Pace at which it started, or was last decided about.
-    pace_percent: u16,
-    pace_age: Option<Duration>,
+    /// Slowdown of the VM when the attempt started, or at the last decision on it.
+    slowdown_percent: u16,
+    slowdown_age: Option<Duration>,
     running: u16,
     queued: u16,
     waited: Duration,
-    ended: bool,
+    is_written: bool,
 }
 
 impl AttemptLogLine {
-    pub fn begin(
+    pub fn new(
         core: &Rc<ProxyCore>,
         hop: &HopRequest,
         req: &CallerRequest,
-        digest: RequestFingerprint,
+        fingerprint: RequestFingerprint,
     ) -> Self {
         let load = core.slots.load();
         Self {
-            request: core.read_request_id(&req.headers),
-            digest,
-            from: hop.sender,
+            request_id: core.read_request_id(&req.headers),
+            fingerprint,
+            sender: hop.sender,
             class: hop.class.clone(),
             arrived: core.timers.now(),
-            pace_percent: load.slowdown_percent,
-            pace_age: None,
+            slowdown_percent: load.slowdown_percent,
+            slowdown_age: None,
             running: load.running,
             queued: load.queued,
             waited: Duration::ZERO,
-            ended: false,
+            is_written: false,
             core: Rc::clone(core),
         }
     }
 
-    /// Notes what is known at the moment of the decision.
-    pub fn note_decision(&mut self) {
+    /// Records the load and the slowdown when the queue decides on the attempt.
+    pub fn record_decision(&mut self) {
         let load = self.core.slots.load();
         self.running = load.running;
         self.queued = load.queued;
-        self.note_pace();
+        self.record_slowdown();
     }
 
-    /// Notes that it has a slot.
-    pub fn note_start(&mut self, waited: Duration) {
+    /// Records that the attempt got a slot after this wait.
+    pub fn record_start(&mut self, waited: Duration) {
         self.waited = waited;
-        self.note_pace();
+        self.record_slowdown();
     }
 
-    fn note_pace(&mut self) {
-        self.pace_percent = self.core.slots.load().slowdown_percent;
-        self.pace_age = self.core.slots.pace.age(self.core.timers.now());
+    fn record_slowdown(&mut self) {
+        self.slowdown_percent = self.core.slots.load().slowdown_percent;
+        self.slowdown_age = self.core.slots.slowdown.age(self.core.timers.now());
     }
 
-    /// Writes the line.
-    pub fn end(mut self, executed: &CompletedAttempt) {
-        let status = executed
+    /// Writes the line with the result of the attempt.
+    pub fn write_result(mut self, completed: &CompletedAttempt) {
+        let status = completed
             .response
             .as_ref()
             .map_or(0, |response| response.status().as_u16());
-        self.write(match executed.answer.outcome {
+        self.write(match completed.answer.outcome {
             AttemptOutcome::Answered => LoggedEnd::Answered(status),
             AttemptOutcome::Refused(reason) => LoggedEnd::Refused(reason),
             AttemptOutcome::Unknown(cause) => LoggedEnd::Unknown(cause),
@@ -87,22 +87,22 @@
     }
 
     fn write(&mut self, end: LoggedEnd) {
-        self.ended = true;
+        self.is_written = true;
         let load = self.core.slots.load();
-        let own = self.core.local_upstream.borrow();
+        let upstream = self.core.local_upstream.borrow();
         self.core.log(&ProxyEvent::AttemptExecuted {
-            request: std::mem::take(&mut self.request),
-            digest: self.digest,
-            from: self.from,
+            request: std::mem::take(&mut self.request_id),
+            digest: self.fingerprint,
+            from: self.sender,
             class: self.class.clone(),
-            instance: own.current().map(|run| run.identity.instance.clone()),
+            instance: upstream.current().map(|run| run.identity.instance.clone()),
             end,
             running: self.running,
             queued: self.queued,
             limit: load.limit,
-            pace_percent: self.pace_percent,
-            pace_age_ms: self.pace_age.map(in_millis),
-            expected_ms: in_millis(self.core.slots.expect(&self.class)),
+            pace_percent: self.slowdown_percent,
+            pace_age_ms: self.slowdown_age.map(in_millis),
+            expected_ms: in_millis(self.core.slots.expected_time(&self.class)),
             waited_ms: in_millis(self.waited),
             took_ms: in_millis(self.core.timers.now().since(self.arrived)),
         });
@@ -111,7 +111,7 @@
 
 impl Drop for AttemptLogLine {
     fn drop(&mut self) {
-        if !self.ended {
+        if !self.is_written {
             self.write(LoggedEnd::ClientLeft);
         }
     }
--- a/src/proxy/executing/dispatch.rs
+++ b/src/proxy/executing/dispatch.rs
@@ -1,4 +1,4 @@
-//! Hands a request to the upstream and judges what comes back.
+//! Sends a request to the local upstream and classifies its response.
 
 use crate::{
     options::proxy_settings::HeaderNames,
@@ -9,9 +9,9 @@
     },
     proxy::{
         core::ProxyCore,
-        crash_detection::{AbortedRequest, detect_crash, note_answered_here},
+        crash_detection::{AbortedRequest, detect_crash, record_local_answer},
         events::ProxyEvent,
-        executing::slowdown::note_load,
+        executing::slowdown::record_load_header,
     },
     state::{ablation::Mechanism, request_fingerprint::RequestFingerprint},
     transport::{
@@ -28,39 +28,39 @@
 use http_body_util::Full;
 use std::{rc::Rc, time::Duration};
 
-/// Longest time to open a connection to the upstream on the same VM.
+/// Timeout for opening a connection to the upstream on the same VM.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// Longest time that a kept connection may have been idle. Upstreams close them after some seconds,
-/// at times without notice; a request that crosses the close has to be repeated.
+/// A kept connection that has been idle for longer is not used again. Upstreams close idle connections after some seconds, at times
+/// without notice; a request that is sent at the same time has to be retried.
 const IDLE_LIMIT: Duration = Duration::from_secs(3);
-/// Largest body of an answer, in bytes.
+/// Maximum body of a response, in bytes.
 const BODY_LIMIT: usize = 64 * 1024 * 1024;
-/// Pause after a connect to the upstream failed.
-const CONNECT_PAUSE: Duration = Duration::from_millis(100);
+/// Time for which the upstream gets no requests after a failed connect or a crash.
+const UPSTREAM_DOWN_PAUSE: Duration = Duration::from_millis(100);
 
-/// Sends a request to the upstream; the caller holds a slot for it.
+/// Sends a request to the local upstream. The caller holds a slot for it. Returns the response only if the outcome is "answered".
 pub async fn dispatch(
     core: &Rc<ProxyCore>,
     hop: &HopRequest,
     req: CallerRequest,
-    digest: RequestFingerprint,
+    fingerprint: RequestFingerprint,
     time_left: Duration,
 ) -> (AttemptOutcome, Option<Response<Bytes>>) {
-    let Some(run) = core
+    let Some(incarnation) = core
         .local_upstream
         .borrow()
         .serving()
-        .map(|run| run.identity.clone())
+        .map(|current| current.identity.clone())
     else {
         return (AttemptOutcome::Refused(RefusalReason::Draining), None);
     };
     let names = &core.settings.headers;
     let id = req.headers.get(&names.request_id).cloned();
     let request_id = core.read_request_id(&req.headers);
-    let Some(request) = build_request(names, req, hop, &run.instance, time_left) else {
+    let Some(request) = build_request(names, req, hop, &incarnation.instance, time_left) else {
         return (AttemptOutcome::Refused(RefusalReason::NotSent), None);
     };
-    let rules = SendOptions {
+    let options = SendOptions {
         reuse: ConnectionReuse::for_request(
             hop.idempotent || Mechanism::FreshConnections.is_disabled(),
         ),
@@ -73,65 +73,66 @@
     let percent = core.slots.load().slowdown_percent;
     let deadline = core.timers.after(time_left);
     let address = core.settings.upstream;
-    let is_answer = |parts: &Parts| belongs_to(names, parts, id.as_ref());
-    let sent = tokio::select! {
-        sent = core.outgoing.send(address, request, rules, is_answer) => sent,
+    let is_answer = |parts: &Parts| is_response_to(names, parts, id.as_ref());
+    let send_result = tokio::select! {
+        send_result = core.outgoing.send(address, request, options, is_answer) => send_result,
         _ = deadline.recv_async() => {
-            core.slots.observe_end(true);
+            core.slots.record_result(true);
             return (AttemptOutcome::Unknown(UnknownCause::DeadlinePassed), None);
         }
     };
     let now = core.timers.now();
-    let is_cut = matches!(sent, Err(SendError::Disconnected));
-    let result = judge(core, sent, &run.instance);
-    let cut = is_cut.then(|| AbortedRequest {
-        request: request_id,
-        digest,
-        run: run.clone(),
+    let is_disconnected = matches!(send_result, Err(SendError::Disconnected));
+    let result = classify_send_result(core, send_result, &incarnation.instance);
+    let aborted = is_disconnected.then(|| AbortedRequest {
+        request_id,
+        fingerprint,
+        incarnation: incarnation.clone(),
         service: hop.service.clone(),
     });
-    if is_crash(core, cut).await {
-        core.slots.observe_end(true);
+    if is_upstream_crash(core, aborted).await {
+        core.slots.record_result(true);
         return (AttemptOutcome::Unknown(UnknownCause::UpstreamCrashed), None);
     }
     if result.0 == AttemptOutcome::Answered {
-        note_answered_here(core, digest, &run);
+        record_local_answer(core, fingerprint, &incarnation);
     }
     let status = result.1.as_ref().map(Response::status);
     core.slots
-        .observe_end(status.is_none_or(|status| status.is_server_error()));
+        .record_result(status.is_none_or(|status| status.is_server_error()));
     if status.is_some_and(|status| status.is_success()) {
-        core.slots.observe(&hop.class, now.since(started), percent);
+        core.slots
+            .record_duration(&hop.class, now.since(started), percent);
     }
     result
 }
 
-/// Whether the upstream has crashed, if it has cut a request. It takes no work for a while then.
-async fn is_crash(core: &Rc<ProxyCore>, cut: Option<AbortedRequest>) -> bool {
-    let Some(cut) = cut else {
+/// Whether the upstream has crashed, if it has aborted a request. After a crash it gets no requests for a while.
+async fn is_upstream_crash(core: &Rc<ProxyCore>, aborted: Option<AbortedRequest>) -> bool {
+    let Some(aborted) = aborted else {
         return false;
     };
-    let crashed = detect_crash(core, cut).await;
+    let crashed = detect_crash(core, aborted).await;
     if crashed {
-        pause(core);
+        pause_attempts(core);
     }
     crashed
 }
 
-fn pause(core: &ProxyCore) {
-    let until = core.timers.now() + CONNECT_PAUSE;
+fn pause_attempts(core: &ProxyCore) {
+    let until = core.timers.now() + UPSTREAM_DOWN_PAUSE;
     core.slots.paused_until.set(until);
 }
 
-fn judge(
+fn classify_send_result(
     core: &Rc<ProxyCore>,
-    sent: Result<Response<Bytes>, SendError>,
+    send_result: Result<Response<Bytes>, SendError>,
     instance: &str,
 ) -> (AttemptOutcome, Option<Response<Bytes>>) {
-    match sent {
-        Ok(response) => judge_response(core, response, instance),
+    match send_result {
+        Ok(response) => classify_response(core, response, instance),
         Err(SendError::NotSent) => {
-            pause(core);
+            pause_attempts(core);
             (AttemptOutcome::Refused(RefusalReason::NotSent), None)
         }
         Err(SendError::Disconnected) => (
@@ -142,15 +143,15 @@
     }
 }
 
-fn judge_response(
+fn classify_response(
     core: &Rc<ProxyCore>,
     response: Response<Bytes>,
     instance: &str,
 ) -> (AttemptOutcome, Option<Response<Bytes>>) {
     let names = &core.settings.headers;
-    note_load(core, response.headers());
+    record_load_header(core, response.headers());
     if response.status() == StatusCode::MISDIRECTED_REQUEST {
-        // Another run has the address: what is known of the former one holds no longer.
+        // Another incarnation has the address; what is known of the former one is no longer valid.
         core.log(&ProxyEvent::UpstreamReplaced {
             instance: instance.to_owned(),
         });
@@ -168,11 +169,11 @@
     (AttemptOutcome::Answered, Some(response))
 }
 
-/// Whether an answer is that of the request with `id`. An answer to an earlier request may still
-/// arrive on a kept connection; it bears the id of that one.
-fn belongs_to(names: &HeaderNames, parts: &Parts, id: Option<&HeaderValue>) -> bool {
+/// Whether a response belongs to the request with this ID. The response to an earlier request may still arrive on a kept
+/// connection; it carries the ID of that request.
+fn is_response_to(names: &HeaderNames, parts: &Parts, id: Option<&HeaderValue>) -> bool {
     match parts.headers.get(&names.request_id) {
-        Some(told) => Some(told) == id,
+        Some(response_id) => Some(response_id) == id,
         None => {
             parts.status == StatusCode::MISDIRECTED_REQUEST
                 || parts.headers.contains_key(&names.not_executed)
--- a/src/proxy/executing/probes.rs
+++ b/src/proxy/executing/probes.rs
@@ -1,4 +1,4 @@
-//! Questions to the upstream beside the node, by the path that the configuration gives for its health.
+//! Probes the local upstream at the health path that the configuration gives for its service.
 
 use crate::{
     proxy::{
@@ -13,34 +13,35 @@
 use http_body_util::Full;
 use std::{rc::Rc, time::Duration};
 
-/// Longest time for an answer. An upstream that takes longer is taken to work at its last pace.
-const ANSWER_TIMEOUT: Duration = Duration::from_millis(30);
-/// Longest time that a connection for questions may have been idle.
+/// Timeout of a probe. After a timeout the last reported slowdown of the upstream stays in use.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(30);
+/// A kept connection that has been idle for longer is not used for a probe.
 const IDLE_LIMIT: Duration = Duration::from_secs(2);
-/// Largest answer, in bytes.
+/// Maximum body of a probe response, in bytes.
 const BODY_LIMIT: usize = 64 * 1024;
 
-/// Whether the upstream says that it is the run of that record, and takes work.
+/// Whether the upstream answers a probe as the incarnation of the record and accepts requests (a success status).
 pub async fn verify_incarnation(core: &Rc<ProxyCore>, record: &NodeRecord) -> bool {
     let Some(uri) = find_health_uri(core, &record.service) else {
         return false;
     };
-    let Ok(answer) = send_question(core, uri, ConnectionReuse::Any).await else {
+    let Ok(answer) = send_probe(core, uri, ConnectionReuse::Any).await else {
         return false;
     };
-    let same = read_instance(core, &answer).is_some_and(|told| told == record.incarnation.instance);
-    same && answer.status().is_success()
+    let is_same = read_instance(core, &answer)
+        .is_some_and(|reported| reported == record.incarnation.instance);
+    is_same && answer.status().is_success()
 }
 
-/// The identity that the upstream tells when it is asked; none if it does not answer.
+/// The instance name with which the upstream answers a probe; none without an answer.
 pub async fn probe_instance(core: &Rc<ProxyCore>, service: &ServiceName) -> Option<String> {
     let uri = find_health_uri(core, service)?;
-    let answer = send_question(core, uri, ConnectionReuse::Any).await.ok()?;
+    let answer = send_probe(core, uri, ConnectionReuse::Any).await.ok()?;
     read_instance(core, &answer).map(str::to_owned)
 }
 
-/// Whether a run of the upstream has ended: connections are refused, or end without an answer where something else takes them,
-/// or another run answers. One that does not answer in time is there, and busy.
+/// Whether an incarnation of the upstream has ended. It has if connections are refused, if they end without a response because
+/// another process accepts them, or if another incarnation answers. An upstream that does not answer in time is running and busy.
 pub async fn has_incarnation_ended(
     core: &Rc<ProxyCore>,
     service: &ServiceName,
@@ -50,73 +51,73 @@
     let Some(uri) = find_health_uri(core, service) else {
         return core
             .outgoing
-            .refuses_connections(upstream, ANSWER_TIMEOUT)
+            .refuses_connections(upstream, PROBE_TIMEOUT)
             .await;
     };
-    match send_question(core, uri, ConnectionReuse::Never).await {
-        Ok(answer) => read_instance(core, &answer).is_some_and(|told| told != instance),
-        Err(QuestionError::Failed(error)) => error != SendError::BadAnswer,
-        Err(QuestionError::OutOfTime) => false,
-        Err(QuestionError::OutOfBudget) => {
+    match send_probe(core, uri, ConnectionReuse::Never).await {
+        Ok(answer) => read_instance(core, &answer).is_some_and(|reported| reported != instance),
+        Err(ProbeError::Failed(error)) => error != SendError::BadAnswer,
+        Err(ProbeError::TimedOut) => false,
+        Err(ProbeError::RateLimited) => {
             core.outgoing
-                .refuses_connections(upstream, ANSWER_TIMEOUT)
+                .refuses_connections(upstream, PROBE_TIMEOUT)
                 .await
         }
     }
 }
 
 fn read_instance<'a>(core: &ProxyCore, answer: &'a Response<Bytes>) -> Option<&'a str> {
-    let told = answer.headers().get(&core.settings.headers.instance)?;
-    told.to_str().ok()
+    let instance = answer.headers().get(&core.settings.headers.instance)?;
+    instance.to_str().ok()
 }
 
-/// Where to ask an upstream of a service; none if no configuration tells.
+/// The health path of a service; none if the configuration has no such service or path.
 pub fn find_health_uri(core: &ProxyCore, service: &ServiceName) -> Option<Uri> {
     let routes = core.routes()?;
     routes.find_service(service)?.health_path.parse().ok()
 }
 
-/// Why a question has no answer.
-pub enum QuestionError {
-    /// It is not asked: too many were.
-    OutOfBudget,
-    /// No answer came in time.
-    OutOfTime,
-    /// It could not be asked, or the connection ended.
+/// Why a probe got no response.
+pub enum ProbeError {
+    /// No probe was sent, since the probe rate is exhausted.
+    RateLimited,
+    /// No response arrived in time.
+    TimedOut,
+    /// The probe could not be sent, or the connection ended, or the response was invalid.
     Failed(SendError),
 }
 
-/// Asks the upstream, within what operators let measuring cost.
-pub async fn send_question(
+/// Sends a probe to the upstream, within the probe rate that operators allow, and records the warm-up time from the response.
+pub async fn send_probe(
     core: &Rc<ProxyCore>,
     uri: Uri,
-    on: ConnectionReuse,
-) -> Result<Response<Bytes>, QuestionError> {
-    if !core.slots.pace.take_question(core.timers.now()) {
-        return Err(QuestionError::OutOfBudget);
+    reuse: ConnectionReuse,
+) -> Result<Response<Bytes>, ProbeError> {
+    if !core.slots.slowdown.take_probe(core.timers.now()) {
+        return Err(ProbeError::RateLimited);
     }
     increment(&core.counters.probes);
     let mut request = Request::new(Full::default());
     *request.uri_mut() = uri;
-    let rules = SendOptions {
-        reuse: on,
-        // Beyond the whole time, so that a connection which was not opened was refused.
-        connect_timeout: ANSWER_TIMEOUT * 2,
+    let options = SendOptions {
+        reuse,
+        // Longer than the whole probe, so that a failed connect always means a refused connection.
+        connect_timeout: PROBE_TIMEOUT * 2,
         idle_limit: IDLE_LIMIT,
         body_limit: BODY_LIMIT,
         answer_timeouts: None,
     };
-    let timeout = core.timers.after(ANSWER_TIMEOUT);
+    let timeout = core.timers.after(PROBE_TIMEOUT);
     let names = &core.settings.headers;
-    // A late answer to a request would bear its id.
+    // A response with a request ID is a late response to a request.
     let is_answer = |parts: &Parts| !parts.headers.contains_key(&names.request_id);
     let upstream = core.settings.upstream;
     tokio::select! {
-        sent = core.outgoing.send(upstream, request, rules, is_answer) => {
-            let answer = sent.map_err(QuestionError::Failed)?;
+        sent = core.outgoing.send(upstream, request, options, is_answer) => {
+            let answer = sent.map_err(ProbeError::Failed)?;
             record_warmup_header(core, answer.headers());
             Ok(answer)
         }
-        _ = timeout.recv_async() => Err(QuestionError::OutOfTime),
+        _ = timeout.recv_async() => Err(ProbeError::TimedOut),
     }
 }
--- a/src/proxy/executing/slots.rs
+++ b/src/proxy/executing/slots.rs
@@ -1,8 +1,8 @@
-//! The slots of the upstream beside the node, and who waits for them.
+//! The slots of the local upstream and the requests that wait for them.
 
 use crate::{
     coordination::slot_queue::{SlotAction, SlotNumber, SlotQueue},
-    proxy::{core::ProxyCore, executing::slowdown::PaceKnowledge},
+    proxy::{core::ProxyCore, executing::slowdown::SlowdownTracker},
     state::{
         ablation::Mechanism, failure_rate::FailureRate, known_node::NodeLoad, names::ClassName,
         service_times::ServiceTimes, timestamp::Timestamp,
@@ -17,109 +17,111 @@
 };
 use tokio::task::spawn_local;
 
-/// Share of an upstream's slots that are used. Above it some upstreams take longer for every
-/// request, so that fewer are done in the same time.
-const USED_SLOTS: f64 = 0.8;
-/// Slots taken until the upstream has told how many it has.
-const FIRST_LIMIT: usize = 4;
+/// Share of an upstream's slots that are used. Above it, some upstreams take longer for every request and complete fewer requests in
+/// the same time.
+const USED_SLOT_SHARE: f64 = 0.8;
+/// Slot limit until the upstream has announced its number of slots.
+const INITIAL_SLOT_LIMIT: usize = 4;
 
-/// The slots of the upstream and who waits for them.
+/// The slots of the local upstream, the requests that wait for them, and statistics of executed requests.
 pub struct Slots {
     pub(super) queue: RefCell<SlotQueue>,
-    pub(super) pace: PaceKnowledge,
-    /// When the upstream was last asked, and so told how long it stays cold.
-    pub(super) warmth_told_at: Cell<Option<Timestamp>>,
-    /// Not tried before: connects to the upstream failed.
+    pub(super) slowdown: SlowdownTracker,
+    /// Time of the last probe, whose response carries the remaining warm-up time.
+    pub(super) warmup_probed_at: Cell<Option<Timestamp>>,
+    /// Until when the upstream gets no requests after a failed connect or a crash.
     pub(super) paused_until: Cell<Timestamp>,
-    times: RefCell<ServiceTimes>,
-    failures: Cell<FailureRate>,
-    waiting: RefCell<HashMap<SlotNumber, Sender<bool>>>,
-    expiry_armed: Cell<Option<Timestamp>>,
+    service_times: RefCell<ServiceTimes>,
+    failure_rate: Cell<FailureRate>,
+    waiting_requests: RefCell<HashMap<SlotNumber, Sender<bool>>>,
+    scheduled_expiry: Cell<Option<Timestamp>>,
 }
 
 impl Slots {
-    /// No slot in use; at most that many questions a second for the upstream's load.
+    /// Slots without requests. `probes_per_second` limits the probes of the upstream.
     #[must_use]
     pub fn new(probes_per_second: f64, now: Timestamp) -> Self {
         Self {
-            queue: RefCell::new(SlotQueue::new(FIRST_LIMIT, now)),
-            pace: PaceKnowledge::new(probes_per_second),
-            warmth_told_at: Cell::default(),
+            queue: RefCell::new(SlotQueue::new(INITIAL_SLOT_LIMIT, now)),
+            slowdown: SlowdownTracker::new(probes_per_second),
+            warmup_probed_at: Cell::default(),
             paused_until: Cell::default(),
-            times: RefCell::default(),
-            failures: Cell::default(),
-            waiting: RefCell::default(),
-            expiry_armed: Cell::default(),
+            service_times: RefCell::default(),
+            failure_rate: Cell::default(),
+            waiting_requests: RefCell::default(),
+            scheduled_expiry: Cell::default(),
         }
     }
 
-    /// Forgets what holds for one run of the upstream only.
+    /// Resets what is known of the former incarnation of the upstream only.
     pub fn reset_incarnation_state(&self) {
         self.paused_until.set(Timestamp::default());
-        self.pace.restart();
-        self.warmth_told_at.set(None);
+        self.slowdown.reset_baseline();
+        self.warmup_probed_at.set(None);
         self.queue.borrow_mut().begin_incarnation();
     }
 
-    /// Records that the current run of the upstream got requests of an earlier process of this node.
+    /// Records that the current incarnation of the upstream already got requests before this node restarted.
     pub fn resume_incarnation(&self) {
         self.queue.borrow_mut().mark_incarnation_inherited();
     }
 
-    /// Notes that the upstream did not answer a question: it is asked again after the usual pause.
-    pub(super) fn note_unanswered(&self, now: Timestamp) {
-        self.pace.note_unanswered(now);
-        self.warmth_told_at.set(Some(now));
+    /// Records that the upstream did not answer a probe, so that the next one is sent after the usual interval.
+    pub(super) fn record_unanswered_probe(&self, now: Timestamp) {
+        self.slowdown.record_unanswered_probe(now);
+        self.warmup_probed_at.set(Some(now));
     }
 
-    /// Lets that many questions a second be asked from now on.
+    /// Changes the limit of probes per second.
     pub fn set_probe_limit(&self, probes_per_second: f64) {
-        self.pace.set_limit(probes_per_second);
+        self.slowdown.set_probe_limit(probes_per_second);
     }
 
-    /// Load of the upstream now.
+    /// Current load of the upstream.
     #[must_use]
     pub fn load(&self) -> NodeLoad {
         let queue = self.queue.borrow();
         NodeLoad {
-            running: saturate(queue.running()),
-            queued: saturate(queue.queued()),
-            limit: saturate(queue.limit()),
+            running: saturate_to_u16(queue.running()),
+            queued: saturate_to_u16(queue.queued()),
+            limit: saturate_to_u16(queue.limit()),
             slowdown_percent: queue.slowdown().percent,
-            failed_percent: self.failures.get().percent(),
+            failed_percent: self.failure_rate.get().percent(),
         }
     }
 
-    /// Time that work of a class takes at the usual pace.
+    /// Time that a request of a class takes without slowdown.
     #[must_use]
-    pub fn expect(&self, class: &ClassName) -> Duration {
-        self.times.borrow().expected_time(class)
+    pub fn expected_time(&self, class: &ClassName) -> Duration {
+        self.service_times.borrow().expected_time(class)
     }
 
-    /// Learns how long work took that started at `percent` of the usual time.
-    pub fn observe(&self, class: &ClassName, took: Duration, percent: u16) {
-        self.times.borrow_mut().observe(class, took, percent);
+    /// Records the duration of a request that started when the VM took `percent` percent of the usual time.
+    pub fn record_duration(&self, class: &ClassName, took: Duration, percent: u16) {
+        self.service_times
+            .borrow_mut()
+            .observe(class, took, percent);
     }
 
-    /// Learns whether a request failed at the upstream.
-    pub fn observe_end(&self, failed: bool) {
-        let mut failures = self.failures.get();
+    /// Records whether a request failed at the upstream.
+    pub fn record_result(&self, failed: bool) {
+        let mut failures = self.failure_rate.get();
         failures.observe(failed);
-        self.failures.set(failures);
+        self.failure_rate.set(failures);
     }
 
-    /// Whether requests wait.
+    /// Whether requests wait for a slot.
     #[must_use]
     pub fn has_waiting(&self) -> bool {
         self.queue.borrow().queued() > 0
     }
 }
 
-fn saturate(count: usize) -> u16 {
+fn saturate_to_u16(count: usize) -> u16 {
     u16::try_from(count).unwrap_or(u16::MAX)
 }
 
-/// Requests that are let run at once at an upstream with that many slots.
+/// Maximum number of concurrent requests at an upstream with this number of slots; at least 1.
 #[must_use]
 pub fn compute_slot_limit(slots: u16) -> usize {
     if Mechanism::SlotLimit.is_disabled() {
@@ -130,31 +132,30 @@
         clippy::cast_sign_loss,
         reason = "a share of a small positive number"
     )]
-    let limit = (f64::from(slots) * USED_SLOTS).floor() as usize;
+    let limit = (f64::from(slots) * USED_SLOT_SHARE).floor() as usize;
     limit.max(1)
 }
 
-/// Takes a new limit of running requests.
+/// Sets the maximum number of concurrent requests, and starts queued requests that it allows.
 pub fn set_slot_limit(core: &Rc<ProxyCore>, limit: usize) {
     let now = core.timers.now();
     let actions = core.slots.queue.borrow_mut().set_limit(limit, now);
-    apply(core, actions);
+    apply_slot_actions(core, actions);
 }
 
-/// Takes all requests that wait out of the queue and refuses them, so that other nodes run them.
+/// Removes all waiting requests from the queue and refuses them, so that other nodes execute them.
 pub fn refuse_queued_requests(core: &Rc<ProxyCore>) {
     let actions = core.slots.queue.borrow_mut().withdraw_all();
-    apply(core, actions);
+    apply_slot_actions(core, actions);
 }
 
-/// A slot, given back when dropped: the future of a request is dropped wherever it stands when its
-/// client goes away.
-pub struct HeldSlot {
+/// Holds a slot and returns it when dropped. The future of a request may be dropped at any `await` when its client disconnects.
+pub struct SlotGuard {
     core: Rc<ProxyCore>,
     number: SlotNumber,
 }
 
-impl HeldSlot {
+impl SlotGuard {
     pub fn new(core: &Rc<ProxyCore>, number: SlotNumber) -> Self {
         Self {
             core: Rc::clone(core),
@@ -163,85 +164,89 @@
     }
 }
 
-impl Drop for HeldSlot {
+impl Drop for SlotGuard {
     fn drop(&mut self) {
         let now = self.core.timers.now();
         let mut queue = self.core.slots.queue.borrow_mut();
         let actions = queue.finish(self.number, now);
         drop(queue);
-        apply(&self.core, actions);
+        apply_slot_actions(&self.core, actions);
     }
 }
 
-/// A place in the queue, given back when the future that waits is dropped.
-struct HeldPlace<'a> {
+/// Holds an entry in the queue and removes it when the waiting future is dropped.
+struct QueueEntryGuard<'a> {
     core: &'a Rc<ProxyCore>,
     number: SlotNumber,
-    settled: bool,
+    is_decided: bool,
 }
 
-impl Drop for HeldPlace<'_> {
+impl Drop for QueueEntryGuard<'_> {
     fn drop(&mut self) {
-        if self.settled {
+        if self.is_decided {
             return;
         }
-        self.core.slots.waiting.borrow_mut().remove(&self.number);
-        let waited = self.core.slots.queue.borrow_mut().withdraw(self.number);
-        if !waited {
-            // Its turn came while it was being dropped.
-            drop(HeldSlot::new(self.core, self.number));
+        self.core
+            .slots
+            .waiting_requests
+            .borrow_mut()
+            .remove(&self.number);
+        let was_queued = self.core.slots.queue.borrow_mut().withdraw(self.number);
+        if !was_queued {
+            // The request got its slot before the future was dropped.
+            drop(SlotGuard::new(self.core, self.number));
         }
     }
 }
 
-/// True once the request has a slot, false if it can't end in time any more.
+/// Waits until the queue decides on a request: true once it has a slot, false if it can no longer end in time or was refused.
 pub async fn wait_for_slot(core: &Rc<ProxyCore>, number: SlotNumber) -> bool {
     let (tx, rx) = flume::bounded(1);
-    core.slots.waiting.borrow_mut().insert(number, tx);
-    arm_expiry(core);
-    core.slots.pace.watch(core);
-    let mut place = HeldPlace {
+    core.slots.waiting_requests.borrow_mut().insert(number, tx);
+    schedule_expiry(core);
+    core.slots.slowdown.probe_while_waiting(core);
+    let mut entry = QueueEntryGuard {
         core,
         number,
-        settled: false,
+        is_decided: false,
     };
-    let started = rx.recv_async().await;
-    place.settled = true;
-    started.unwrap_or(false)
+    let has_slot = rx.recv_async().await;
+    entry.is_decided = true;
+    has_slot.unwrap_or(false)
 }
 
-/// Tells waiting requests what was decided about them.
-pub fn apply(core: &Rc<ProxyCore>, actions: Vec<SlotAction>) {
+/// Wakes the waiting requests on which the queue has decided.
+pub fn apply_slot_actions(core: &Rc<ProxyCore>, actions: Vec<SlotAction>) {
     for action in actions {
-        let (number, starts) = match action {
+        let (number, has_slot) = match action {
             SlotAction::Start(number) => (number, true),
             SlotAction::Expire(number) => (number, false),
         };
-        let waiting = core.slots.waiting.borrow_mut().remove(&number);
+        let waiting = core.slots.waiting_requests.borrow_mut().remove(&number);
         if let Some(tx) = waiting {
-            // The receiver lives as long as the place, whose end gives the slot back.
-            let _ = tx.send(starts);
+            // The receiver lives as long as the guard of the queue entry, which returns the slot when dropped.
+            let _ = tx.send(has_slot);
         }
     }
-    arm_expiry(core);
+    schedule_expiry(core);
 }
 
-fn arm_expiry(core: &Rc<ProxyCore>) {
+fn schedule_expiry(core: &Rc<ProxyCore>) {
     let now = core.timers.now();
     let Some(due) = core.slots.queue.borrow().next_expiry(now) else {
         return;
     };
-    let armed = core.slots.expiry_armed.get();
-    if armed.is_some_and(|armed| armed <= due) {
+    let scheduled = core.slots.scheduled_expiry.get();
+    if scheduled.is_some_and(|scheduled| scheduled <= due) {
         return;
     }
-    core.slots.expiry_armed.set(Some(due));
+    core.slots.scheduled_expiry.set(Some(due));
     let wait = core.timers.after(due.since(now));
     let core = Rc::clone(core);
     spawn_local(async move {
         let _ = wait.recv_async().await;
-        core.slots.expiry_armed.set(None);
+        core.slots.scheduled_expiry.set(None);
         let actions = core.slots.queue.borrow_mut().expire(core.timers.now());
-        apply(&core, actions);
+        apply_slot_actions(&core, actions);
     });
 }
--- a/src/proxy/executing/slowdown.rs
+++ b/src/proxy/executing/slowdown.rs
@@ -1,15 +1,15 @@
-//! How fast the VM of the upstream works: read from answers, and asked for where answers are old.
+//! Tracks the slowdown of the local upstream's VM. Responses report it; if the last report is old, the upstream is probed.
 //!
-//! The pace changes several times a second, and work that starts at a slow moment stays slow. A
-//! question costs the upstream about a millisecond and no slot.
+//! The slowdown changes several times a second, and a request that starts while it is high stays slow. A probe costs the upstream
+//! about a millisecond and no slot.
 
 use crate::{
     coordination::vm_slowdown::SlowdownHistory,
     proxy::{
         core::ProxyCore,
         executing::{
-            probes::{find_health_uri, send_question},
-            slots::apply,
+            probes::{find_health_uri, send_probe},
+            slots::apply_slot_actions,
         },
     },
     state::{ablation::Mechanism, rate_limit::RateLimit, timestamp::Timestamp},
@@ -23,79 +23,84 @@
 };
 use tokio::task::spawn_local;
 
-/// Age up to which the pace counts as known. A start at a slow moment costs some three times the
-/// work; VMs seen so far change at most every 300 ms, so one in 12 has changed within this time.
-const FRESH: Duration = Duration::from_millis(25);
-/// Pause between questions while requests wait for the VM to recover.
-const WATCH_PAUSE: Duration = Duration::from_millis(40);
-/// Seconds of the allowed rate that may be asked at once.
-const BURST: f64 = 1.0;
+/// Age up to which a reported slowdown is used. A request that starts during a slowdown takes about three times as long. VMs change
+/// their speed at most every 300 ms, so one in 12 has changed within this time.
+const MAX_SLOWDOWN_AGE: Duration = Duration::from_millis(25);
+/// Pause between probes while requests wait for the VM to recover.
+const WAITING_PROBE_INTERVAL: Duration = Duration::from_millis(40);
+/// Burst of probes, as seconds of the allowed rate.
+const PROBE_BURST_SECONDS: f64 = 1.0;
 
-/// What is known of the pace, and how.
-pub struct PaceKnowledge {
-    /// When it was last told; never by an upstream that does not tell its load.
-    told_at: Cell<Option<Timestamp>>,
+/// The reported slowdown, its history, and the probes that refresh it.
+pub struct SlowdownTracker {
+    /// Time of the last report; none for an upstream that does not report its load.
+    reported_at: Cell<Option<Timestamp>>,
     history: Cell<SlowdownHistory>,
-    asking: RefCell<Option<flume::Receiver<()>>>,
-    watching: Cell<bool>,
-    /// Keeps questions within what operators let measuring cost.
+    pending_probe: RefCell<Option<flume::Receiver<()>>>,
+    is_watching: Cell<bool>,
+    /// Keeps the probes within the rate that operators allow.
     budget: Cell<RateLimit>,
 }
 
-impl PaceKnowledge {
-    /// Nothing known; at most that many questions a second.
+impl SlowdownTracker {
+    /// A tracker without reports. `probes_per_second` limits the probes of the upstream.
     #[must_use]
     pub fn new(probes_per_second: f64) -> Self {
         Self {
-            told_at: Cell::default(),
+            reported_at: Cell::default(),
             history: Cell::default(),
-            asking: RefCell::default(),
-            watching: Cell::default(),
-            budget: Cell::new(RateLimit::new(probes_per_second, probes_per_second * BURST)),
+            pending_probe: RefCell::default(),
+            is_watching: Cell::default(),
+            budget: Cell::new(RateLimit::new(
+                probes_per_second,
+                probes_per_second * PROBE_BURST_SECONDS,
+            )),
         }
     }
 
-    /// Forgets what was usual: another run of the upstream has come.
-    pub fn restart(&self) {
+    /// Resets the baseline speed, since the upstream has a new incarnation.
+    pub fn reset_baseline(&self) {
         let mut history = self.history.get();
         history.reset_baseline();
         self.history.set(history);
     }
 
-    /// Lets that many questions a second be asked from now on.
-    pub fn set_limit(&self, probes_per_second: f64) {
-        let limit = RateLimit::new(probes_per_second, probes_per_second * BURST);
+    /// Changes the limit of probes per second.
+    pub fn set_probe_limit(&self, probes_per_second: f64) {
+        let limit = RateLimit::new(probes_per_second, probes_per_second * PROBE_BURST_SECONDS);
         self.budget.set(limit);
     }
 
-    /// Takes one question out of what operators let measuring cost; false if it is spent.
-    pub fn take_question(&self, now: Timestamp) -> bool {
+    /// Takes one probe from the allowed rate; false if the rate is exhausted.
+    pub fn take_probe(&self, now: Timestamp) -> bool {
         let mut budget = self.budget.get();
         let granted = budget.try_acquire(now);
         self.budget.set(budget);
         granted
     }
 
-    /// Notes that a question found no answer. A pace that was never told is not asked for.
-    pub fn note_unanswered(&self, now: Timestamp) {
-        if self.told_at.get().is_some() {
-            self.told_at.set(Some(now));
+    /// Records that a probe got no answer. An upstream that has never reported a slowdown is not probed for it.
+    pub fn record_unanswered_probe(&self, now: Timestamp) {
+        if self.reported_at.get().is_some() {
+            self.reported_at.set(Some(now));
         }
     }
 
-    /// Time since it was told.
+    /// Time since the last report; none if there was none.
     #[must_use]
     pub fn age(&self, now: Timestamp) -> Option<Duration> {
-        self.told_at.get().map(|at| now.since(at))
+        self.reported_at.get().map(|at| now.since(at))
     }
 
     fn is_stale(&self, now: Timestamp) -> bool {
-        self.told_at.get().is_some_and(|at| now.since(at) > FRESH)
+        self.reported_at
+            .get()
+            .is_some_and(|at| now.since(at) > MAX_SLOWDOWN_AGE)
     }
 
-    /// Asks again and again while requests wait at a slow moment.
-    pub fn watch(&self, core: &Rc<ProxyCore>) {
-        if self.watching.replace(true) {
+    /// Probes repeatedly while requests wait and the VM is slow.
+    pub fn probe_while_waiting(&self, core: &Rc<ProxyCore>) {
+        if self.is_watching.replace(true) {
             return;
         }
         let core = Rc::clone(core);
@@ -103,16 +108,16 @@
             while core.slots.has_waiting()
                 && core.slots.queue.borrow().slowdown().is_above_baseline()
             {
-                let _ = core.timers.after(WATCH_PAUSE).recv_async().await;
-                refresh_pace(&core).await;
+                let _ = core.timers.after(WAITING_PROBE_INTERVAL).recv_async().await;
+                refresh_slowdown(&core).await;
             }
-            core.slots.pace.watching.set(false);
+            core.slots.slowdown.is_watching.set(false);
         });
     }
 }
 
 /// Records the load reported in a response of the upstream.
-pub fn note_load(core: &Rc<ProxyCore>, headers: &HeaderMap) {
+pub fn record_load_header(core: &Rc<ProxyCore>, headers: &HeaderMap) {
     let text = headers
         .get(&core.settings.headers.load)
         .and_then(|value| value.to_str().ok());
@@ -121,46 +126,46 @@
         return;
     };
     let now = core.timers.now();
-    core.slots.pace.told_at.set(Some(now));
-    let mut history = core.slots.pace.history.get();
-    let pace = history.record(percent, now);
-    core.slots.pace.history.set(history);
-    let actions = core.slots.queue.borrow_mut().set_slowdown(pace, now);
-    apply(core, actions);
+    core.slots.slowdown.reported_at.set(Some(now));
+    let mut history = core.slots.slowdown.history.get();
+    let slowdown = history.record(percent, now);
+    core.slots.slowdown.history.set(history);
+    let actions = core.slots.queue.borrow_mut().set_slowdown(slowdown, now);
+    apply_slot_actions(core, actions);
     if core.slots.has_waiting() {
-        core.slots.pace.watch(core);
+        core.slots.slowdown.probe_while_waiting(core);
     }
 }
 
-/// Asks for the pace unless it is known well enough.
-pub async fn refresh_pace(core: &Rc<ProxyCore>) {
-    if Mechanism::SlowdownProbes.is_disabled() || !core.slots.pace.is_stale(core.timers.now()) {
+/// Probes the upstream if the last reported slowdown is too old.
+pub async fn refresh_slowdown(core: &Rc<ProxyCore>) {
+    if Mechanism::SlowdownProbes.is_disabled() || !core.slots.slowdown.is_stale(core.timers.now()) {
         return;
     }
-    ask_for_pace(core).await;
+    probe_slowdown(core).await;
 }
 
-/// Asks for the pace. Several requests share one question.
-pub async fn ask_for_pace(core: &Rc<ProxyCore>) {
-    let under_way = core.slots.pace.asking.borrow().clone();
-    if let Some(done) = under_way {
-        // The sender goes once the answer is there.
+/// Probes the upstream for its slowdown. Concurrent callers share one probe.
+pub async fn probe_slowdown(core: &Rc<ProxyCore>) {
+    let pending = core.slots.slowdown.pending_probe.borrow().clone();
+    if let Some(done) = pending {
+        // The sender is dropped when the probe has ended.
         let _ = done.recv_async().await;
         return;
     }
     let (tx, done) = flume::bounded::<()>(1);
-    *core.slots.pace.asking.borrow_mut() = Some(done.clone());
-    let core_copy = Rc::clone(core);
-    // Goes on when the request that started it is given up: others may wait for it.
+    *core.slots.slowdown.pending_probe.borrow_mut() = Some(done.clone());
+    let probe_core = Rc::clone(core);
+    // Continues when the request that started the probe is dropped, since others may wait for it.
     spawn_local(async move {
-        ask(&core_copy).await;
-        core_copy.slots.pace.asking.borrow_mut().take();
+        send_slowdown_probe(&probe_core).await;
+        probe_core.slots.slowdown.pending_probe.borrow_mut().take();
         drop(tx);
     });
     let _ = done.recv_async().await;
 }
 
-async fn ask(core: &Rc<ProxyCore>) {
+async fn send_slowdown_probe(core: &Rc<ProxyCore>) {
     let service = core
         .local_upstream
         .borrow()
@@ -169,9 +174,9 @@
     let Some(uri) = service.and_then(|service| find_health_uri(core, &service)) else {
         return;
     };
-    match send_question(core, uri, ConnectionReuse::Any).await {
-        Ok(answer) => note_load(core, answer.headers()),
-        // Asked again after the usual pause, not by every request that comes meanwhile.
-        Err(_) => core.slots.note_unanswered(core.timers.now()),
+    match send_probe(core, uri, ConnectionReuse::Any).await {
+        Ok(answer) => record_load_header(core, answer.headers()),
+        // The next probe is sent after the usual interval, not by each request that arrives in the meantime.
+        Err(_) => core.slots.record_unanswered_probe(core.timers.now()),
     }
 }
