--- a/src/proxy/client_reply.rs
+++ b/src/proxy/client_reply.rs
@@ -1,35 +1,36 @@
-//! What a client is told.
+//! Builds the replies to client requests.
 
 use crate::{
     protocol::{
         hop::get_variant_name,
         outcome::{RefusalReason, UnknownCause},
     },
-    proxy::peer_requests::pass_on,
+    proxy::peer_requests::strip_connection_headers,
     transport::callers::{CallerReply, reply_json},
 };
 use bytes::Bytes;
 use http::{HeaderValue, Response, StatusCode, header::RETRY_AFTER};
 use std::time::Duration;
 
-/// How a client's request ended.
+/// How a client request ended.
 #[derive(Debug)]
 pub enum RequestOutcome {
-    /// An upstream's whole answer.
+    /// The complete response of an upstream.
     Answered(Box<Response<Bytes>>),
-    /// It did not run and never will; it may be tried again after the time given.
+    /// The request was not executed and never will be. The client may retry after the given time.
     Refused(RefusalReason, Duration),
-    /// It may have run.
+    /// The request may have been executed.
     Unknown(UnknownCause),
-    /// No route leads anywhere.
+    /// No route matches the request.
     NoRoute,
 }
 
-/// The reply for that end.
+/// Builds the reply for an outcome: the upstream's response, or a status with an error text as JSON. `Retry-After` is in seconds
+/// with three decimals.
 #[must_use]
-pub fn build_reply(end: RequestOutcome) -> CallerReply {
-    match end {
-        RequestOutcome::Answered(response) => pass_on(*response),
+pub fn build_reply(outcome: RequestOutcome) -> CallerReply {
+    match outcome {
+        RequestOutcome::Answered(response) => strip_connection_headers(*response),
         RequestOutcome::Refused(reason, after) => {
             let text = format!("not run: {}", get_variant_name(&reason));
             let mut reply = reply_json(StatusCode::SERVICE_UNAVAILABLE, &text);
@@ -43,7 +44,10 @@
             reply_json(StatusCode::GATEWAY_TIMEOUT, "no answer within the deadline")
         }
         RequestOutcome::Unknown(cause) => {
-            let text = format!("unknown whether it ran: {}", get_variant_name(&cause));
+            let text = format!(
+                "unknown whether the request was executed: {}",
+                get_variant_name(&cause)
+            );
             reply_json(StatusCode::BAD_GATEWAY, &text)
         }
         RequestOutcome::NoRoute => reply_json(StatusCode::NOT_FOUND, "no route"),
--- a/src/proxy/graceful_stop.rs
+++ b/src/proxy/graceful_stop.rs
@@ -1,4 +1,5 @@
-//! A planned stop: the upstream gets work until its clients have gone, what runs is ended.
+//! Graceful stop of a node. The local upstream gets new requests for a short time; the process ends once its clients have left and
+//! all requests have ended, at the latest shortly before it is killed.
 
 use crate::{
     proxy::{
@@ -9,34 +10,33 @@
 };
 use std::{rc::Rc, time::Duration};
 
-/// Clients notice that a node is not ready at the second question, one each second, and may send
-/// until then.
-const CLIENTS_LEAVE: Duration = Duration::from_millis(2_500);
-/// How long a stopping node gives its upstream new work: nothing else can, and the process stays for its
-/// clients anyway. The rest of their time is for what runs.
-const WORK_TAKEN: Duration = Duration::from_secs(2);
-/// Time before the process is killed at which it ends by itself.
-const MARGIN: Duration = Duration::from_millis(400);
-/// How often to look whether all has ended.
-const STEP: Duration = Duration::from_millis(50);
+/// Time after which clients have stopped sending requests. They check readiness each second and stop after the second failed check.
+const CLIENT_DEPARTURE_TIME: Duration = Duration::from_millis(2_500);
+/// How long a stopping node sends new requests to its local upstream. No other node can do so, and the process stays for its clients
+/// anyway. The remaining time is for requests in progress.
+const ACCEPTING_TIME: Duration = Duration::from_secs(2);
+/// Time before the kill at which the process ends by itself.
+const KILL_MARGIN: Duration = Duration::from_millis(400);
+/// Interval of the checks whether all requests have ended.
+const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Looks in a row that find nothing in progress. An answer counts as ended when it is handed to its
-/// connection; one look later it is written.
-const IDLE_LOOKS: u32 = 3;
+/// Consecutive checks that must find nothing in progress. A request counts as ended when its response is passed to the connection;
+/// one check later the response has been written.
+const IDLE_CHECKS: u32 = 3;
 
-/// Whether work may be given to the upstream that is to end within `time_left`. What can't end before the
-/// process is killed would be cut off.
+/// Whether the upstream may get a new request that ends within `time_left`. A request that can't end before the process is killed
+/// would be aborted.
 #[must_use]
 pub fn accepts_work(core: &ProxyCore, time_left: Duration) -> bool {
     let Some(since) = core.stopping_since.get() else {
         return true;
     };
-    let stopping = core.timers.now().since(since);
-    let latest = core.limits().grace.saturating_sub(MARGIN);
-    stopping <= WORK_TAKEN && stopping + time_left <= latest
+    let stopping_for = core.timers.now().since(since);
+    let latest = core.limits().grace.saturating_sub(KILL_MARGIN);
+    stopping_for <= ACCEPTING_TIME && stopping_for + time_left <= latest
 }
 
-/// Stops the node.
+/// Stops the node: waits until nothing is in progress or the grace period is nearly over.
 pub async fn stop_gracefully(core: &Rc<ProxyCore>) {
     let since = core.timers.now();
     core.stopping_since.set(Some(since));
@@ -44,12 +44,12 @@
         in_progress: core.in_progress.get(),
         running: core.slots.load().running,
     });
-    let latest = since + core.limits().grace.saturating_sub(MARGIN);
-    let mut idle_looks = 0;
-    while idle_looks < IDLE_LOOKS && core.timers.now() < latest {
-        let _ = core.timers.after(STEP).recv_async().await;
-        idle_looks = if may_end(core, since) {
-            idle_looks + 1
+    let latest = since + core.limits().grace.saturating_sub(KILL_MARGIN);
+    let mut idle_checks = 0;
+    while idle_checks < IDLE_CHECKS && core.timers.now() < latest {
+        let _ = core.timers.after(CHECK_INTERVAL).recv_async().await;
+        idle_checks = if has_finished(core, since) {
+            idle_checks + 1
         } else {
             0
         };
@@ -60,7 +60,7 @@
     });
 }
 
-fn may_end(core: &ProxyCore, since: Timestamp) -> bool {
-    let gone = core.timers.now().since(since) >= CLIENTS_LEAVE;
-    gone && core.in_progress.get() == 0 && core.slots.load().running == 0
+fn has_finished(core: &ProxyCore, since: Timestamp) -> bool {
+    let clients_have_left = core.timers.now().since(since) >= CLIENT_DEPARTURE_TIME;
+    clients_have_left && core.in_progress.get() == 0 && core.slots.load().running == 0
 }
--- a/src/proxy/peer_requests.rs
+++ b/src/proxy/peer_requests.rs
@@ -1,7 +1,7 @@
 //! Requests between nodes, over HTTP/1.1.
 //!
-//! Each request under way has a connection of its own: one that falls silent holds up nothing else,
-//! and closing it cancels just that request at the other node.
+//! Each request in progress has a connection of its own. A connection that hangs delays no other request, and closing it cancels
+//! only its request at the other node.
 
 use crate::{
     protocol::{
@@ -30,20 +30,19 @@
 use http_body_util::Full;
 use std::{net::SocketAddr, rc::Rc, time::Duration};
 
-/// Longest time to open a connection to another node. A lost packet of an opening is sent again after a
-/// second, so beyond some round trips between zones it is better to ask another node.
+/// Timeout for opening a connection to another node. TCP retransmits a lost packet of a connect after a second, so after a few
+/// round trips between zones it is better to try another node.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(120);
-/// Longest time that a kept connection to another node may have been idle. A VM that lost power in the
-/// meantime does not say so: what is sent on the connection may have run for all that is known, while the
-/// opening of a new one fails at once and proves that it did not.
+/// A kept connection to another node that has been idle for longer is not used again. A VM that has lost power does not close its
+/// connections: it is unknown whether a request sent on one was executed, while a failed connect proves that it was not.
 const IDLE_LIMIT: Duration = Duration::from_secs(1);
-/// Largest body between nodes, in bytes.
+/// Maximum body between nodes, in bytes.
 const BODY_LIMIT: usize = 64 * 1024 * 1024;
 
-/// Has another node run a request at its upstream.
+/// Sends a request to another node, which executes it at its local upstream.
 ///
 /// # Errors
-/// If no answer came; only [`SendError::NotSent`] proves that the request did not run.
+/// If no valid answer arrived; only [`SendError::NotSent`] proves that the request was not executed.
 pub async fn send_hop(
     core: &Rc<ProxyCore>,
     to: SocketAddr,
@@ -51,7 +50,7 @@
     req: &CallerRequest,
 ) -> Result<CompletedAttempt, SendError> {
     let request = build_hop(hop, req).ok_or(SendError::NotSent)?;
-    let rules = SendOptions {
+    let options = SendOptions {
         reuse: ConnectionReuse::for_request(
             hop.idempotent || Mechanism::FreshConnections.is_disabled(),
         ),
@@ -61,7 +60,7 @@
         answer_timeouts: None,
     };
     let is_answer = |parts: &Parts| parts.headers.contains_key(HOP_HEADER);
-    let mut response = core.outgoing.send(to, request, rules, is_answer).await?;
+    let mut response = core.outgoing.send(to, request, options, is_answer).await?;
     let header = response.headers_mut().remove(HOP_HEADER);
     let answer = header
         .as_ref()
@@ -88,13 +87,13 @@
     Some(request)
 }
 
-/// The node as other nodes meet it.
+/// Handles requests of other nodes: state messages and attempts to execute at the local upstream.
 pub struct PeerHandler {
     core: Rc<ProxyCore>,
 }
 
 impl PeerHandler {
-    /// The edge of this node.
+    /// Creates the handler for the peer listener of a node.
     #[must_use]
     pub fn new(core: Rc<ProxyCore>) -> Self {
         Self { core }
@@ -123,23 +122,23 @@
         .as_ref()
         .and_then(|value| HopRequest::decode(value.to_str().ok()?));
     let Some(hop) = hop else {
-        return reply_json(StatusCode::BAD_REQUEST, "not a message between nodes");
+        return reply_json(StatusCode::BAD_REQUEST, "missing or invalid hop header");
     };
     note_peer_version(core, hop.sender, hop.version);
-    let executed = execute(core, &hop, req).await;
-    let mut reply = match executed.response {
-        Some(response) => pass_on(response),
+    let completed = execute(core, &hop, req).await;
+    let mut reply = match completed.response {
+        Some(response) => strip_connection_headers(response),
         None => Response::new(Full::default()),
     };
-    if let Ok(value) = HeaderValue::from_str(&executed.answer.encode()) {
+    if let Ok(value) = HeaderValue::from_str(&completed.answer.encode()) {
         let name = HeaderName::from_static(HOP_HEADER);
         reply.headers_mut().insert(name, value);
     }
     reply
 }
 
-/// An upstream's answer without what concerns its connection only.
-pub fn pass_on(response: Response<Bytes>) -> CallerReply {
+/// Removes the headers that apply only to the connection on which a response arrived.
+pub fn strip_connection_headers(response: Response<Bytes>) -> CallerReply {
     let (mut parts, body) = response.into_parts();
     remove_hop_by_hop(&mut parts.headers);
     parts.headers.remove(CONTENT_LENGTH);
--- a/src/proxy/retry_budgets.rs
+++ b/src/proxy/retry_budgets.rs
@@ -1,4 +1,4 @@
-//! What this node spends of the budgets of repeats.
+//! Spends this node's part of the retry budgets of the services.
 
 use crate::{
     coordination::retry_budget::{RetryBudget, RetryBudgetShare},
@@ -10,7 +10,7 @@
 };
 use std::collections::HashMap;
 
-/// Counts a request that begins at this node.
+/// Counts a client request at this node, which adds to the retry budget of its service.
 pub fn count_request(core: &ProxyCore, service: &ServiceName) {
     let now = core.timers.now();
     core.calls_per_execution
@@ -21,37 +21,37 @@
     budget.count_request(now, core.limits().repeats);
 }
 
-/// Takes one repeat at a service; false if the budget does not hold it.
+/// Takes one retry from the budget of a service; false if the budget is exhausted.
 pub fn take_retry(core: &ProxyCore, service: &ServiceName) -> bool {
-    let share = find_share(core);
+    let share = compute_budget_share(core);
     let mut budgets = core.retry_budgets.borrow_mut();
     let budget = budgets.entry(service.clone()).or_default();
     budget.try_spend(core.timers.now(), share, 1.0)
 }
 
-/// Gives repeats back that were taken and reached no upstream.
-pub fn return_retries(core: &ProxyCore, service: &ServiceName, repeats: u16) {
+/// Returns retries to the budget that were taken and reached no upstream.
+pub fn return_retries(core: &ProxyCore, service: &ServiceName, retries: u16) {
     if let Some(budget) = core.retry_budgets.borrow_mut().get_mut(service) {
-        budget.refund(repeats);
+        budget.refund(retries);
     }
 }
 
-/// Whether the budgets hold the calls that a repeated run of a class makes again.
+/// Whether the budgets have room for the calls to other services that a retry of a class repeats.
 pub fn has_call_budget(core: &ProxyCore, class: &ClassName) -> bool {
-    let calls = ExpectedCalls::of_run(core, class);
-    calls.check_each(&mut core.retry_budgets.borrow_mut(), RetryBudget::can_spend)
+    let calls = ExpectedCalls::of_execution(core, class);
+    calls.check_budgets(&mut core.retry_budgets.borrow_mut(), RetryBudget::can_spend)
 }
 
-/// Takes the calls that a repeated run of a class makes again; false, and nothing taken, if a budget does not hold
-/// them.
+/// Takes the calls to other services that a retry of a class repeats from their budgets. Returns false and takes nothing if a
+/// budget has no room for them.
 pub fn take_call_budget(core: &ProxyCore, class: &ClassName) -> bool {
-    let calls = ExpectedCalls::of_run(core, class);
+    let calls = ExpectedCalls::of_execution(core, class);
     let mut budgets = core.retry_budgets.borrow_mut();
-    calls.check_each(&mut budgets, RetryBudget::can_spend)
-        && calls.check_each(&mut budgets, RetryBudget::try_spend)
+    calls.check_budgets(&mut budgets, RetryBudget::can_spend)
+        && calls.check_budgets(&mut budgets, RetryBudget::try_spend)
 }
 
-/// The calls that a repeated run makes again at each service, at the most, and this node's part of the budgets now.
+/// Upper limits for the calls that a retry repeats at each service, and this node's current part of the budgets.
 struct ExpectedCalls {
     now: Timestamp,
     share: RetryBudgetShare,
@@ -59,11 +59,11 @@
 }
 
 impl ExpectedCalls {
-    fn of_run(core: &ProxyCore, class: &ClassName) -> Self {
+    fn of_execution(core: &ProxyCore, class: &ClassName) -> Self {
         let now = core.timers.now();
         Self {
             now,
-            share: find_share(core),
+            share: compute_budget_share(core),
             amounts: core
                 .calls_per_execution
                 .borrow()
@@ -71,8 +71,8 @@
         }
     }
 
-    /// Whether `check` holds for the budget of each service.
-    fn check_each(
+    /// Whether `check` returns true for the budget of each service. Stops at the first false.
+    fn check_budgets(
         &self,
         budgets: &mut HashMap<ServiceName, RetryBudget>,
         check: impl Fn(&mut RetryBudget, Timestamp, RetryBudgetShare, f64) -> bool,
@@ -84,7 +84,7 @@
     }
 }
 
-fn find_share(core: &ProxyCore) -> RetryBudgetShare {
+fn compute_budget_share(core: &ProxyCore) -> RetryBudgetShare {
     RetryBudgetShare {
         rules: core.limits().repeats,
         nodes: core.directory.borrow().nodes.len(),
--- a/src/proxy/start.rs
+++ b/src/proxy/start.rs
@@ -1,4 +1,4 @@
-//! Runs a node on the present event loop until it has stopped.
+//! Runs a node on the current event loop until it has stopped.
 
 use crate::{
     proxy::{
@@ -11,20 +11,20 @@
 use std::{rc::Rc, time::Duration};
 use tokio::{net::TcpListener, task::spawn_local};
 
-/// Connections of clients and of other nodes that are open at once, each. Half of the descriptors of
-/// a small VM, so that connections to upstreams and nodes find some.
+/// Maximum number of open connections from clients, and likewise from other nodes. Half of the file descriptors of a small VM, so
+/// that some remain for connections to upstreams and nodes.
 const MAX_CONNECTIONS: usize = 1_500;
-/// Time that a client's connection may be idle, and a head be under way. Above the idle time that
-/// operators allow clients: closing earlier would cut requests that are on their way.
+/// Timeout for an idle connection and for receiving a request head. It is longer than the idle time that operators allow clients,
+/// since closing earlier would abort requests in transit.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(30);
-/// Time for a body to arrive.
+/// Timeout for receiving a request body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
-/// Largest head, in bytes.
+/// Maximum request head, in bytes.
 const HEAD_LIMIT: usize = 64 * 1024;
-/// Largest body, in bytes.
+/// Maximum request body, in bytes.
 const BODY_LIMIT: usize = 64 * 1024 * 1024;
 
-/// What a node listens on.
+/// The listeners of a node.
 pub struct ProxyListeners {
     /// For clients on the VM.
     pub clients: TcpListener,
@@ -32,7 +32,7 @@
     pub peers: TcpListener,
 }
 
-/// Serves until a message on `stop` comes, then ends as planned.
+/// Serves clients and other nodes until a message arrives on `stop`, then stops gracefully.
 pub async fn run_proxy(core: &Rc<ProxyCore>, listeners: ProxyListeners, stop: &Receiver<()>) {
     spawn_local(serve_callers(
         listeners.clients,
@@ -50,12 +50,12 @@
         address: core.settings.peers,
         service: core.settings.service.clone(),
     });
-    // The sender goes only with the process.
+    // The sender is dropped only at the end of the process.
     let _ = stop.recv_async().await;
     stop_gracefully(core).await;
 }
 
-/// Bounds on those who connect.
+/// Limits on the connections and requests of clients and other nodes.
 #[must_use]
 pub fn limits() -> CallerLimits {
     CallerLimits {
