--- a/tests/integration/overload.rs
+++ b/tests/integration/overload.rs
@@ -1,4 +1,4 @@
-//! Load patterns replayed through the decisions of one upstream, in virtual time.
+//! Replays load patterns through the slot queue of one upstream, in virtual time.
 
 use camphorturn::{
     coordination::slot_queue::{SlotAction, SlotDecision, SlotNumber, SlotQueue, SlotRequest},
@@ -12,8 +12,8 @@
 };
 
 const LIMIT: usize = 11;
-/// Work of a request, and what it varies by.
-const WORK: (u64, u64) = (70, 150);
+/// Shortest and longest duration of a request, in milliseconds.
+const DURATION_RANGE_MS: (u64, u64) = (70, 150);
 const EXPECTED: Duration = Duration::from_millis(110);
 const TARGET: Duration = Duration::from_millis(300);
 const DEADLINE: Duration = Duration::from_millis(1_200);
@@ -24,7 +24,7 @@
     on_time: u32,
     late: u32,
     refused_at_once: u32,
-    /// Told after a wait that nothing came of it.
+    /// Refused after a wait in the queue.
     expired: u32,
 }
 
@@ -34,12 +34,12 @@
     }
 }
 
-/// One upstream that requests reach at drawn times, as an entry node brings them: each asks when it would end, and
-/// waits for its target if it ends in time, else for its deadline.
+/// One upstream that requests reach at random times. Like an entry node, each request first asks for a slot at once. If it is refused,
+/// it waits up to its target if the reported finish time is within the target, and up to its deadline otherwise.
 struct Replay {
     queue: SlotQueue,
     random: StdRng,
-    /// When running requests end.
+    /// End times of running requests.
     ends: BinaryHeap<Reverse<(Timestamp, u64)>>,
     arrived: HashMap<SlotNumber, Timestamp>,
     outcome: Outcome,
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Brings `rate` requests a second for a span, then lets all end.
+    /// Sends requests at the rate per second of each phase for its duration, then lets all requests end.
     fn play(mut self, phases: &[(u32, Duration)]) -> Outcome {
         let mut now = Timestamp(0);
         for (rate, span) in phases {
@@ -79,11 +79,11 @@
             }
             self.ends.pop();
             let actions = self.queue.expire(at);
-            self.take(actions, at);
+            self.apply_actions(actions, at);
             self.end(SlotNumber(number), at);
         }
         let actions = self.queue.expire(now);
-        self.take(actions, now);
+        self.apply_actions(actions, now);
     }
 
     fn end(&mut self, number: SlotNumber, at: Timestamp) {
@@ -94,10 +94,10 @@
             self.outcome.late += 1;
         }
         let actions = self.queue.finish(number, at);
-        self.take(actions, at);
+        self.apply_actions(actions, at);
     }
 
-    fn take(&mut self, actions: Vec<SlotAction>, at: Timestamp) {
+    fn apply_actions(&mut self, actions: Vec<SlotAction>, at: Timestamp) {
         for action in actions {
             match action {
                 SlotAction::Start(number) => self.start(number, at),
@@ -110,8 +110,8 @@
     }
 
     fn start(&mut self, number: SlotNumber, at: Timestamp) {
-        let (least, most) = WORK;
-        let took = Duration::from_millis(self.random.random_range(least..most));
+        let (shortest, longest) = DURATION_RANGE_MS;
+        let took = Duration::from_millis(self.random.random_range(shortest..longest));
         self.ends.push(Reverse((at + took, number.0)));
     }
 
@@ -145,13 +145,13 @@
     }
 }
 
-/// Requests a second that the slots can carry.
+/// Requests per second that the slots can execute.
 const CAPACITY: u32 = 100;
 
-/// Symptom: with half as much work again as can be done, 1 in 5 answers is on time though 3 could be, and a fourth
-/// of the clients hear after a second that nothing came of it. Sequence: requests that can't be on time are let wait
-/// until their deadlines; the next ones find them ahead, can't be on time either, and wait as well. Cause: a request
-/// was on time for the queue as long as it could end before the time that it was let wait for.
+/// Guards against a queue full of late requests at 1.5 times the capacity. 1 in 5 answers was on time where 3 in 5 could be, and a fourth of
+/// the clients were refused only after a second. Requests that can't be on time wait until their deadlines; the next ones queue behind
+/// them, can't be on time either and wait as well. The queue must not count a request as on time just because it can end within
+/// the time that it may wait.
 #[test]
 fn replay_half_as_much_again() {
     for seed in 0..5 {
@@ -163,7 +163,7 @@
     }
 }
 
-/// Symptom: answers stay late for long after a burst. Cause: the queue that it left keeps what comes later waiting.
+/// Guards against answers that stay late long after a burst, because the queue that it left delays the requests after it.
 #[test]
 fn replay_burst_is_over_soon() {
     for seed in 0..5 {
@@ -176,7 +176,7 @@
     }
 }
 
-/// What is late is served where there is room: nothing is refused below capacity.
+/// Below capacity nothing is refused, since late requests are executed where there is room.
 #[test]
 fn replay_below_capacity_refuses_nothing() {
     for seed in 0..5 {
--- a/tests/integration/proxy_decisions.rs
+++ b/tests/integration/proxy_decisions.rs
@@ -1,4 +1,4 @@
-//! Decisions of a node that need no connection.
+//! Tests decisions of a node that need no connection.
 
 use camphorturn::{
     coordination::{
@@ -25,16 +25,16 @@
 };
 use std::{net::SocketAddr, rc::Rc, time::Duration};
 
-fn run(instance: &str, born: Option<u64>) -> IncarnationId {
+fn incarnation(instance: &str, started_ms: Option<u64>) -> IncarnationId {
     IncarnationId {
         instance: instance.to_owned(),
-        started_ms: born,
+        started_ms,
     }
 }
 
 fn announcement(instance: &str, sequence: u64, leaving: bool) -> Announcement {
     Announcement {
-        incarnation: run(instance, None),
+        incarnation: incarnation(instance, None),
         service: "desk".into(),
         slots: 6,
         leaving,
@@ -53,7 +53,7 @@
         address: address(last),
         service: "desk".into(),
         availability_zone: zone.into(),
-        incarnation: run(instance, None),
+        incarnation: incarnation(instance, None),
         slots: 6,
         leaving: false,
         operators: None,
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn take_table_never_older() {
+fn apply_table_never_older() {
     let mut directory = Directory::default();
     assert!(directory.apply_table(table(5)));
     assert!(!directory.apply_table(table(4)));
@@ -136,10 +136,10 @@
     assert_eq!(directory.version().0, 5);
 }
 
-/// Symptom: a node asks for a run of an upstream that has been replaced. Sequence: a node that is behind
-/// tells an old record after the new one was read. Cause: the last that comes counts.
+/// Guards against requests to an incarnation of an upstream that has been replaced. A node that is behind sends an old record after
+/// the newer one was read from the store; the one that arrived last must not win.
 #[test]
-fn take_record_never_older() {
+fn apply_record_never_older() {
     let mut directory = Directory::default();
     let stored = |revision, instance: &str| StoredRecord {
         revision,
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn list_newer_than_what_is_known() {
+fn list_newer_than_known_version() {
     let mut directory = Directory::default();
     directory.apply_table(table(5));
     directory.apply_own_record(record(1, "a", "i"));
@@ -172,15 +172,25 @@
     bolero::check!()
         .with_type::<Vec<(u8, u8, bool)>>()
         .for_each(|announcements| {
-            let mut own = LocalUpstream::default();
+            let mut upstream = LocalUpstream::default();
             let mut left = Vec::new();
-            for (run, sequence, leaving) in announcements {
-                let instance = format!("i-{}", run % 4);
-                own.apply_announcement(announcement(&instance, u64::from(*sequence), *leaving));
-                if own.current().is_some_and(|run| run.leaving) {
-                    left.extend(own.current().map(|run| run.identity.instance.clone()));
+            for (incarnation, sequence, leaving) in announcements {
+                let instance = format!("i-{}", incarnation % 4);
+                upstream.apply_announcement(announcement(
+                    &instance,
+                    u64::from(*sequence),
+                    *leaving,
+                ));
+                if upstream.current().is_some_and(|current| current.leaving) {
+                    left.extend(
+                        upstream
+                            .current()
+                            .map(|current| current.identity.instance.clone()),
+                    );
                 }
-                let serving = own.serving().map(|run| run.identity.instance.clone());
+                let serving = upstream
+                    .serving()
+                    .map(|current| current.identity.instance.clone());
                 assert!(serving.is_none_or(|serving| !left.contains(&serving)));
             }
         });
@@ -188,75 +198,81 @@
 
 #[test]
 fn announce_stale_sequence() {
-    let mut own = LocalUpstream::default();
-    own.apply_announcement(announcement("i-1", 5, false));
-    let effect = own.apply_announcement(announcement("i-1", 4, true));
+    let mut upstream = LocalUpstream::default();
+    upstream.apply_announcement(announcement("i-1", 5, false));
+    let effect = upstream.apply_announcement(announcement("i-1", 4, true));
     assert_eq!(effect, AnnouncementEffect::Stale);
-    assert!(own.serving().is_some());
+    assert!(upstream.serving().is_some());
 }
 
-/// Symptom: a new upstream gets no requests. Sequence: its predecessor's last announcement arrives after
-/// its own first. Cause: the late one makes the predecessor the present run.
+/// Guards against a new upstream that gets no requests. The last announcement of its predecessor arrives after its own first one and
+/// must not make the predecessor the current incarnation.
 #[test]
-fn announce_of_ended_run() {
-    let mut own = LocalUpstream::default();
-    own.apply_announcement(announcement("i-1", 5, false));
-    own.apply_announcement(announcement("i-2", 1, false));
-    let effect = own.apply_announcement(announcement("i-1", 6, false));
+fn announce_by_former_incarnation() {
+    let mut upstream = LocalUpstream::default();
+    upstream.apply_announcement(announcement("i-1", 5, false));
+    upstream.apply_announcement(announcement("i-2", 1, false));
+    let effect = upstream.apply_announcement(announcement("i-1", 6, false));
     assert_eq!(effect, AnnouncementEffect::Stale);
     assert_eq!(
-        own.current().map(|run| run.identity.instance.as_str()),
+        upstream
+            .current()
+            .map(|current| current.identity.instance.as_str()),
         Some("i-2")
     );
 }
 
-fn announcement_of(born: u64, sequence: u64, leaving: bool) -> Announcement {
+fn announcement_of_incarnation(started_ms: u64, sequence: u64, leaving: bool) -> Announcement {
     Announcement {
-        incarnation: run("i-1", Some(born)),
+        incarnation: incarnation("i-1", Some(started_ms)),
         ..announcement("i-1", sequence, leaving)
     }
 }
 
-/// Symptom: an upstream never gets work again. Sequence: it leaves, and starts again under the identity that it had; its
-/// sequence starts anew. Cause: its announcements count as late ones of the run that left.
+/// Guards against an upstream that gets no requests after a restart. It drains and starts again under the same instance name, and its
+/// sequence numbers begin again; its announcements must not count as late ones of the former incarnation.
 #[test]
-fn announce_again_under_the_same_identity() {
-    let mut own = LocalUpstream::default();
-    own.apply_announcement(announcement_of(1_000, 7, true));
-    assert!(own.serving().is_none());
-    let again = own.apply_announcement(announcement_of(2_000, 1, false));
+fn announce_after_restart_same_instance() {
+    let mut upstream = LocalUpstream::default();
+    upstream.apply_announcement(announcement_of_incarnation(1_000, 7, true));
+    assert!(upstream.serving().is_none());
+    let again = upstream.apply_announcement(announcement_of_incarnation(2_000, 1, false));
     assert_eq!(again, AnnouncementEffect::Changed);
     assert_eq!(
-        own.serving().and_then(|run| run.identity.started_ms),
+        upstream
+            .serving()
+            .and_then(|current| current.identity.started_ms),
         Some(2_000)
     );
 }
 
-/// Symptom: an upstream that has left gets work. Sequence: it has started again under its identity; words of its former run
-/// arrive late. Cause: the last that arrives counts.
+/// Guards against late announcements of a former incarnation that replace the state of the current one. The upstream has restarted
+/// under the same instance name; the announcement that arrived last must not win.
 #[test]
-fn announce_late_word_of_a_former_run() {
-    let mut own = LocalUpstream::default();
-    own.apply_announcement(announcement_of(1_000, 7, false));
-    own.apply_announcement(announcement_of(2_000, 1, false));
-    let late = own.apply_announcement(announcement_of(1_000, 8, true));
+fn announce_late_from_former_incarnation() {
+    let mut upstream = LocalUpstream::default();
+    upstream.apply_announcement(announcement_of_incarnation(1_000, 7, false));
+    upstream.apply_announcement(announcement_of_incarnation(2_000, 1, false));
+    let late = upstream.apply_announcement(announcement_of_incarnation(1_000, 8, true));
     assert_eq!(late, AnnouncementEffect::Stale);
-    assert!(!own.record_departure(&run("i-1", Some(1_000))));
+    assert!(!upstream.record_departure(&incarnation("i-1", Some(1_000))));
     assert_eq!(
-        own.serving().and_then(|run| run.identity.started_ms),
+        upstream
+            .serving()
+            .and_then(|current| current.identity.started_ms),
         Some(2_000)
     );
-    assert!(own.record_departure(&run("i-1", Some(2_000))));
-    assert!(own.serving().is_none());
+    assert!(upstream.record_departure(&incarnation("i-1", Some(2_000))));
+    assert!(upstream.serving().is_none());
 }
 
 #[test]
 fn depart_before_first_announcement() {
-    let mut own = LocalUpstream::default();
-    assert!(own.record_departure(&run("i-1", None)));
-    assert!(!own.record_departure(&run("i-1", None)));
-    own.apply_announcement(announcement("i-1", 9, false));
-    assert!(own.current().is_none());
+    let mut upstream = LocalUpstream::default();
+    assert!(upstream.record_departure(&incarnation("i-1", None)));
+    assert!(!upstream.record_departure(&incarnation("i-1", None)));
+    upstream.apply_announcement(announcement("i-1", 9, false));
+    assert!(upstream.current().is_none());
 }
 
 #[test]
@@ -284,7 +300,7 @@
 }
 
 #[test]
-fn order_leaves_out_unreachable() {
+fn order_excludes_unreachable() {
     let mut unreachable = view(1, "a");
     unreachable.record_unreachable(Timestamp(0));
     let views = [unreachable, view(2, "a")];
@@ -302,8 +318,8 @@
     assert_eq!(order(Timestamp(300_000)), 2);
 }
 
-/// Symptom: each request to a VM that stands still is late. Sequence: it takes connections and says nothing;
-/// requests go on to be sent there. Cause: only refused and broken connections counted against a node.
+/// Guards against late requests while a VM hangs. The VM accepts connections and sends nothing, so no connection is refused or broken;
+/// its silence alone must put the node last.
 #[test]
 fn order_silent_node_last() {
     let mut silent = view(1, "a");
@@ -330,7 +346,7 @@
 }
 
 #[test]
-fn readers_are_two_of_a_zone() {
+fn readers_two_per_zone() {
     let all: Vec<SocketAddr> = (1..=20).map(address).collect();
     let reads = |own: &SocketAddr| is_reader(*own, all.iter().copied().filter(|o| o != own));
     assert_eq!(all.iter().filter(|own| reads(own)).count(), 2);
@@ -338,7 +354,7 @@
 }
 
 #[test]
-fn plan_reading_by_nodes() {
+fn plan_reading_by_node_count() {
     let plan = |role, nodes| plan_reading(role, StoreTopic::Nodes, nodes);
     assert_eq!(plan(ReadingRole::First, 12).pause, Duration::ZERO);
     assert_eq!(plan(ReadingRole::Other, 12).pause, Duration::from_secs(14));
@@ -349,18 +365,18 @@
     assert_eq!(pause(870), Duration::from_secs(2));
 }
 
-/// Symptom: a change of the configuration comes into force seconds late. Sequence: the first reader of a zone is lost, the
-/// configuration changes. Cause to be ruled out: the second reader, which reads less often, isn't reading then.
+/// Guards against a change of the configuration that takes effect seconds late. The first reader of a zone is lost and the
+/// configuration changes; the second reader, which otherwise reads less often, must be reading the configuration at that time.
 #[test]
-fn plan_reading_second_always_reads_configuration() {
+fn plan_reading_second_reader_always_reads_configuration() {
     let plan = plan_reading(ReadingRole::Second, StoreTopic::Configuration, 12);
     assert_eq!(plan.pause, Duration::ZERO);
-    // The platform's longest read.
+    // The platform ends a read after 30 seconds at the latest.
     assert!(plan.wait > Duration::ZERO && plan.wait < Duration::from_secs(30));
 }
 
 #[test]
-fn split_receivers_all_once() {
+fn split_receivers_covers_each_once() {
     for count in 0..=40_u8 {
         let receivers: Vec<SocketAddr> = (0..count).map(address).collect();
         let parts = split_receivers(&receivers);
@@ -369,19 +385,19 @@
     }
 }
 
-/// Symptom: the line that explains a failure is missing. Sequence: many ordinary requests end, then one
-/// fails within the same second. Cause: the budget of lines was spent on the ordinary ones.
+/// Guards against a missing log line about a failure. Many ordinary requests end, then one fails within the same second; the
+/// ordinary ones must not use up the budget of lines.
 #[test]
-fn lines_telling_ones_last_longer() {
+fn lines_important_ones_last_longer() {
     let lines = LineWriter::new("n1".into(), KEEP_ALL, Timestamp(1));
     let now = Timestamp(1);
     let ordinary = (0..1_000)
         .filter(|_| lines.admit(Severity::Ordinary, now))
         .count();
-    let telling = (0..1_000)
+    let important = (0..1_000)
         .filter(|_| lines.admit(Severity::Important, now))
         .count();
-    assert_eq!((ordinary, telling), (20, 150));
+    assert_eq!((ordinary, important), (20, 150));
 }
 
 const KEEP_ALL: LineRules = LineRules {
@@ -389,26 +405,26 @@
     kept: 1_000,
 };
 
-fn withheld(request: &str) -> ProxyEvent {
+fn retry_suppressed(request: &str) -> ProxyEvent {
     ProxyEvent::RetrySuppressed {
         request: request.to_owned(),
         service: "desk".into(),
     }
 }
 
-/// Symptom: of a request only one node tells. Sequence: two nodes sample lines independently of each
-/// other. Cause: the sample was drawn by line, not by request.
+/// Guards against requests of which only one node logs lines. Two nodes sample independently of each other, so the sample must be
+/// drawn by request and not by line.
 #[test]
-fn lines_sample_the_same_requests_everywhere() {
+fn lines_sample_same_requests_at_all_nodes() {
     let rules = LineRules {
         one_in: 4,
         kept: 1_000,
     };
     let now = Timestamp(1);
-    let told = |node: &str| {
+    let list_requests = |node: &str| {
         let lines = LineWriter::new(node.into(), rules, now);
         for number in 0..40 {
-            lines.write(&withheld(&format!("r{number}")), now);
+            lines.write(&retry_suppressed(&format!("r{number}")), now);
         }
         let (kept, next) = lines.list_kept(0);
         assert_eq!(usize::try_from(next), Ok(kept.len() + 1));
@@ -418,13 +434,13 @@
         });
         requests.collect::<Vec<String>>()
     };
-    let requests = told("n1");
+    let requests = list_requests("n1");
     assert!((1..40).contains(&requests.len()), "{requests:?}");
-    assert_eq!(requests, told("n2"));
+    assert_eq!(requests, list_requests("n2"));
 }
 
 #[test]
-fn lines_left_out_are_told() {
+fn lines_dropped_are_reported() {
     let lines = LineWriter::new("n1".into(), KEEP_ALL, Timestamp(1));
     let event = ProxyEvent::StateRejected {
         error: "e".to_owned(),
@@ -449,12 +465,12 @@
     let mut limit = RateLimit::new(60.0, 60.0);
     let asked = (0..100_000_u64).map(|step| Timestamp(step * 100));
     let granted = asked.filter(|now| limit.try_acquire(*now)).count();
-    // Ten seconds, and one burst.
+    // Ten seconds of the rate, and one burst.
     assert!((659..=661).contains(&granted), "{granted}");
 }
 
 #[test]
-fn told_finish_holds_for_a_while() {
+fn reported_finish_expires() {
     let mut view = view(1, "a");
     let class = "look".into();
     view.record_refusal(&class, Duration::from_millis(200), Timestamp(0));
