--- a/src/proxy/entry.rs
+++ b/src/proxy/entry.rs
@@ -96,7 +96,7 @@
             head_timeout: started_with
                 .head_timeout
                 .max(limits.idle_timeout * IDLE_TIMEOUT_FACTOR),
-            max_body_bytes: limits.body_bytes.min(started_with.max_body_bytes),
+            max_body_bytes: limits.max_body_bytes.min(started_with.max_body_bytes),
             ..started_with
         }
     }
--- a/src/proxy/operator_requests.rs
+++ b/src/proxy/operator_requests.rs
@@ -181,7 +181,7 @@
         .filter(|view| view.record.address != core.settings.peers)
         .map(|view| PeerStatus {
             node: Some(view.record.name.clone()),
-            operators: view.record.operators,
+            operators: view.record.operator_address,
             leaving: view.record.leaving,
             failures: view.consecutive_failures,
         })
--- a/src/proxy/upstream_announcements.rs
+++ b/src/proxy/upstream_announcements.rs
@@ -177,6 +177,6 @@
         incarnation: current.identity.clone(),
         slots: current.slots,
         leaving: current.leaving,
-        operators: core.settings.operators,
+        operator_address: core.settings.operators,
     })
 }
--- a/src/state/known_node.rs
+++ b/src/state/known_node.rs
@@ -37,8 +37,8 @@
     /// The upstream has said that it leaves.
     pub leaving: bool,
     /// Where operators' tools reach the node, if they can.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub operators: Option<SocketAddr>,
+    #[serde(rename = "operators", default, skip_serializing_if = "Option::is_none")]
+    pub operator_address: Option<SocketAddr>,
 }
 
 /// A record with its place in the order in which the store took the records.
--- a/src/state/routing_table.rs
+++ b/src/state/routing_table.rs
@@ -90,7 +90,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ClientLimits {
     /// Largest body in bytes.
-    pub body_bytes: usize,
+    #[serde(rename = "body_bytes")]
+    pub max_body_bytes: usize,
     /// Time that a connection may be idle.
     pub idle_timeout: Duration,
 }
@@ -98,7 +99,7 @@
 impl Default for ClientLimits {
     fn default() -> Self {
         Self {
-            body_bytes: 8 * 1024 * 1024,
+            max_body_bytes: 8 * 1024 * 1024,
             idle_timeout: Duration::from_secs(15),
         }
     }
--- a/tests/integration/proxy_decisions.rs
+++ b/tests/integration/proxy_decisions.rs
@@ -56,7 +56,7 @@
         incarnation: incarnation(instance, None),
         slots: 6,
         leaving: false,
-        operators: None,
+        operator_address: None,
     }
 }
 
--- a/tests/integration/retiring.rs
+++ b/tests/integration/retiring.rs
@@ -40,7 +40,7 @@
         },
         slots: 6,
         leaving: false,
-        operators: None,
+        operator_address: None,
     }
 }
 
--- a/tests/integration/retiring_model.rs
+++ b/tests/integration/retiring_model.rs
@@ -212,7 +212,7 @@
                 },
                 slots: 6,
                 leaving: false,
-                operators: None,
+                operator_address: None,
             },
         }
     }
--- a/tests/integration/store_copy.rs
+++ b/tests/integration/store_copy.rs
@@ -33,7 +33,7 @@
             },
             slots: 6,
             leaving: false,
-            operators: None,
+            operator_address: None,
         },
     }
 }
--- a/tests/integration/table_change.rs
+++ b/tests/integration/table_change.rs
@@ -138,7 +138,7 @@
             }
         }
         Edit::AddService(number) => table.services.push(build_service(*number)),
-        Edit::Body(bytes) => table.limits.body_bytes = usize::from(*bytes),
+        Edit::Body(bytes) => table.limits.max_body_bytes = usize::from(*bytes),
     }
 }
 
