--- a/tests/integration/slot_queue.rs
+++ b/tests/integration/slot_queue.rs
@@ -1,4 +1,4 @@
-//! Slots of an upstream: who runs, who waits, who is refused.
+//! Slot queue of an upstream: which requests run, wait or are refused.
 
 use camphorturn::{
     coordination::{
@@ -29,7 +29,7 @@
     }
 }
 
-fn slow() -> VmSlowdown {
+fn slowed_down() -> VmSlowdown {
     VmSlowdown {
         percent: 400,
         baseline_percent: 100,
@@ -37,7 +37,7 @@
     }
 }
 
-fn number_of(decision: SlotDecision) -> SlotNumber {
+fn slot_number(decision: SlotDecision) -> SlotNumber {
     match decision {
         SlotDecision::Run(number) | SlotDecision::Wait(number) => number,
         SlotDecision::Refuse { .. } => panic!("refused"),
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn offer_at_once_or_none() {
+fn submit_refused_without_free_slot() {
     let mut queue = SlotQueue::new(1, START);
     assert!(matches!(
         queue.submit(request(1, 0), START),
@@ -59,44 +59,43 @@
 }
 
 #[test]
-fn offer_waits_if_it_ends_in_time() {
+fn submit_waits_if_finished_in_time() {
     let mut queue = SlotQueue::new(1, START);
-    let first = number_of(queue.submit(request(1, 500), START));
+    let first = slot_number(queue.submit(request(1, 500), START));
     let second = queue.submit(request(1, 500), START);
     assert!(matches!(second, SlotDecision::Wait(_)));
     let started = queue.finish(first, at(100));
-    assert_eq!(started, [SlotAction::Start(number_of(second))]);
+    assert_eq!(started, [SlotAction::Start(slot_number(second))]);
 }
 
 #[test]
-fn finish_starts_higher_rank_first() {
+fn finish_starts_higher_priority_first() {
     let mut queue = SlotQueue::new(1, START);
-    let first = number_of(queue.submit(request(2, 900), START));
-    let low = number_of(queue.submit(request(2, 900), START));
-    let high = number_of(queue.submit(request(0, 900), START));
+    let first = slot_number(queue.submit(request(2, 900), START));
+    let low = slot_number(queue.submit(request(2, 900), START));
+    let high = slot_number(queue.submit(request(0, 900), START));
     assert_eq!(queue.finish(first, at(50)), [SlotAction::Start(high)]);
     assert_eq!(queue.finish(high, at(150)), [SlotAction::Start(low)]);
 }
 
-/// Symptom: under overload every answer is late. Sequence: requests wait longer than their target, are
-/// run in the order of their arrival, and the next ones wait as long. Cause: work for late answers
-/// comes before work that could be on time.
+/// Failure: under overload every response is late. Requests that wait longer than their latency target are executed in order of
+/// arrival, so the next ones wait as long, although some could still meet their target.
 #[test]
-fn finish_starts_those_on_time_first() {
+fn finish_starts_requests_within_target_first() {
     let mut queue = SlotQueue::new(1, START);
-    let first = number_of(queue.submit(request(1, 900), START));
-    let late = number_of(queue.submit(request(1, 300), START));
-    let on_time = number_of(queue.submit(request(1, 900), at(10)));
+    let first = slot_number(queue.submit(request(1, 900), START));
+    let late = slot_number(queue.submit(request(1, 300), START));
+    let on_time = slot_number(queue.submit(request(1, 900), at(10)));
     assert_eq!(queue.finish(first, at(400)), [SlotAction::Start(on_time)]);
     assert_eq!(queue.finish(on_time, at(500)), [SlotAction::Start(late)]);
 }
 
-/// Symptom: a VM that is slow for a moment holds all its slots for a second. Sequence: requests start
-/// while work takes four times as long. Cause: a free slot counts as a reason to start.
+/// Failure: a short slowdown of the VM occupies all slots for a second, because requests start in free slots while work takes four
+/// times as long.
 #[test]
-fn slow_moment_starts_nothing_that_gains_by_waiting() {
+fn set_slowdown_delays_long_request() {
     let mut queue = SlotQueue::new(2, START);
-    queue.set_slowdown(slow(), START);
+    queue.set_slowdown(slowed_down(), START);
     let finish_in = ms(300);
     assert_eq!(
         queue.submit(request(1, 0), START),
@@ -105,13 +104,13 @@
     let waiting = queue.submit(request(1, 500), START);
     assert!(matches!(waiting, SlotDecision::Wait(_)));
     let started = queue.set_slowdown(VmSlowdown::NONE, at(40));
-    assert_eq!(started, [SlotAction::Start(number_of(waiting))]);
+    assert_eq!(started, [SlotAction::Start(slot_number(waiting))]);
 }
 
 #[test]
-fn slow_moment_starts_short_work() {
+fn submit_short_request_during_slowdown() {
     let mut queue = SlotQueue::new(2, START);
-    queue.set_slowdown(slow(), START);
+    queue.set_slowdown(slowed_down(), START);
     let short = SlotRequest {
         expected: ms(15),
         ..request(1, 80)
@@ -119,14 +118,14 @@
     assert!(matches!(queue.submit(short, START), SlotDecision::Run(_)));
 }
 
-/// Symptom: short calls are refused though they would end in time. Sequence: all slots are taken on a slow
-/// VM; a call of 15 ms could start when the first is free, slow as the VM is. Cause: the forecast takes it
-/// to wait for the VM to recover, like long work.
+/// Failure: short requests are refused although they would finish in time. All slots of a slowed-down VM are occupied, and a
+/// request of 15 ms could start in the first free one despite the slowdown. The forecast assumes that it waits for the end of the
+/// slowdown, as a long request does.
 #[test]
-fn slow_moment_forecast_of_short_work() {
+fn submit_short_request_waits_for_slot_during_slowdown() {
     let mut queue = SlotQueue::new(1, START);
-    number_of(queue.submit(request(1, 500), START));
-    queue.set_slowdown(slow(), at(50));
+    slot_number(queue.submit(request(1, 500), START));
+    queue.set_slowdown(slowed_down(), at(50));
     let short = SlotRequest {
         expected: ms(15),
         time_left: ms(200),
@@ -136,42 +135,42 @@
 }
 
 #[test]
-fn expire_refuses_what_misses_its_deadline() {
+fn expire_request_beyond_deadline() {
     let mut queue = SlotQueue::new(1, START);
-    number_of(queue.submit(request(1, 900), START));
-    let waiting = number_of(queue.submit(request(1, 900), START));
+    slot_number(queue.submit(request(1, 900), START));
+    let waiting = slot_number(queue.submit(request(1, 900), START));
     assert_eq!(queue.next_expiry(START), Some(at(900)));
     assert_eq!(queue.expire(at(899)), []);
     assert_eq!(queue.expire(at(900)), [SlotAction::Expire(waiting)]);
 }
 
 #[test]
-fn withdraw_frees_the_place() {
+fn withdraw_removes_waiting_request() {
     let mut queue = SlotQueue::new(1, START);
-    let first = number_of(queue.submit(request(1, 900), START));
-    let waiting = number_of(queue.submit(request(1, 900), START));
+    let first = slot_number(queue.submit(request(1, 900), START));
+    let waiting = slot_number(queue.submit(request(1, 900), START));
     assert!(queue.withdraw(waiting));
     assert!(!queue.withdraw(waiting));
     assert_eq!(queue.finish(first, at(10)), []);
 }
 
-/// Follows a queue and checks what must hold after every step.
+/// Expected running and waiting requests, compared with the queue after every step.
 #[derive(Default)]
-struct Checker {
+struct QueueModel {
     running: HashSet<u64>,
     waiting: HashSet<u64>,
 }
 
-impl Checker {
-    fn take(&mut self, actions: &[SlotAction]) {
+impl QueueModel {
+    fn apply(&mut self, actions: &[SlotAction]) {
         for action in actions {
             match action {
                 SlotAction::Start(number) => {
-                    assert!(self.waiting.remove(&number.0), "started out of nothing");
+                    assert!(self.waiting.remove(&number.0), "started without waiting");
                     self.running.insert(number.0);
                 }
                 SlotAction::Expire(number) => {
-                    assert!(self.waiting.remove(&number.0), "expired out of nothing");
+                    assert!(self.waiting.remove(&number.0), "expired without waiting");
                 }
             }
         }
@@ -185,25 +184,25 @@
 }
 
 #[test]
-fn steps_keep_the_limit() {
+fn running_stays_within_limit() {
     bolero::check!()
         .with_type::<Vec<(u8, u8, u16)>>()
         .for_each(|steps| {
             let mut queue = SlotQueue::new(3, START);
-            let mut checker = Checker::default();
+            let mut model = QueueModel::default();
             let mut now = START;
             for (step, choice, span) in steps {
                 now = now + ms(u64::from(*span) % 400);
-                let actions = take_step(&mut queue, &mut checker, *step, *choice, now);
-                checker.take(&actions);
-                checker.check(&queue);
+                let actions = perform_step(&mut queue, &mut model, *step, *choice, now);
+                model.apply(&actions);
+                model.check(&queue);
             }
         });
 }
 
-fn take_step(
+fn perform_step(
     queue: &mut SlotQueue,
-    checker: &mut Checker,
+    model: &mut QueueModel,
     step: u8,
     choice: u8,
     now: Timestamp,
@@ -212,36 +211,36 @@
         0 | 1 => {
             match queue.submit(request(choice % 3, u64::from(choice) * 4), now) {
                 SlotDecision::Run(number) => {
-                    checker.running.insert(number.0);
+                    model.running.insert(number.0);
                 }
                 SlotDecision::Wait(number) => {
-                    checker.waiting.insert(number.0);
+                    model.waiting.insert(number.0);
                 }
                 SlotDecision::Refuse { finish_in } => assert!(finish_in >= ms(100)),
             }
             Vec::new()
         }
         2 => {
-            let Some(number) = checker.running.iter().min().copied() else {
+            let Some(number) = model.running.iter().min().copied() else {
                 return Vec::new();
             };
-            checker.running.remove(&number);
+            model.running.remove(&number);
             queue.finish(SlotNumber(number), now)
         }
         3 => {
-            if let Some(number) = checker.waiting.iter().min().copied() {
+            if let Some(number) = model.waiting.iter().min().copied() {
                 assert!(queue.withdraw(SlotNumber(number)));
-                checker.waiting.remove(&number);
+                model.waiting.remove(&number);
             }
             Vec::new()
         }
         _ => {
-            let pace = if choice.is_multiple_of(2) {
+            let slowdown = if choice.is_multiple_of(2) {
                 VmSlowdown::NONE
             } else {
-                slow()
+                slowed_down()
             };
-            queue.set_slowdown(pace, now)
+            queue.set_slowdown(slowdown, now)
         }
     }
 }
--- a/tests/integration/slow_start.rs
+++ b/tests/integration/slow_start.rs
@@ -1,4 +1,4 @@
-//! What a cold upstream is given within any second.
+//! Number of requests that a cold upstream gets within any second.
 
 use camphorturn::{
     coordination::slow_start::{SlowStart, SlowStartRules, WarmupReport},
@@ -7,22 +7,22 @@
 use std::time::Duration;
 
 const SECOND: Duration = Duration::from_secs(1);
-const LASTS: Duration = Duration::from_secs(3);
+const WARMUP: Duration = Duration::from_secs(3);
 const LIMIT: usize = 5;
 
 const fn at(millis: u64) -> Timestamp {
     Timestamp(millis * 1_000)
 }
 
-fn told(left: Duration) -> WarmupReport {
+fn report(left: Duration) -> WarmupReport {
     WarmupReport {
         remaining: left,
-        total: LASTS,
+        total: WARMUP,
         limit: LIMIT,
     }
 }
 
-/// Starts as many as are let at one moment, up to a few more than the limit.
+/// Starts as many requests as permitted at one time, up to twice the limit; returns their number.
 fn start_all(slow_start: &mut SlowStart, now: Timestamp) -> usize {
     let mut started = 0;
     while started < 2 * LIMIT && slow_start.wait(0, now).is_zero() {
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn limit_by_rate_and_slack() {
+fn limit_from_rate_and_slack() {
     let rules = SlowStartRules {
         overage: 1.5,
         slack: 8.0,
@@ -46,16 +46,16 @@
 fn wait_warm_upstream() {
     let mut slow_start = SlowStart::new(at(0));
     assert_eq!(start_all(&mut slow_start, at(0)), 2 * LIMIT);
-    slow_start.record_report(told(Duration::ZERO), at(10));
+    slow_start.record_report(report(Duration::ZERO), at(10));
     assert!(slow_start.wait(0, at(10)).is_zero());
 }
 
-/// Guards against requests of an earlier process that don't count: its upstream was cold already, and became cold again just as
-/// the node was started anew.
+/// Failure: requests of an earlier node process aren't counted. The upstream was cold before, and became cold again just as the
+/// node restarted.
 #[test]
-fn wait_run_of_earlier_process_cold_again() {
+fn wait_inherited_incarnation_cold_again() {
     let mut slow_start = SlowStart::new(at(10_000));
-    let cold_again = told(Duration::from_millis(2_902));
+    let cold_again = report(Duration::from_millis(2_902));
     slow_start.record_report(cold_again, at(10_010));
     slow_start.mark_incarnation_inherited();
     slow_start.record_report(cold_again, at(10_010));
@@ -67,11 +67,11 @@
     assert!(slow_start.wait(0, at(13_100)).is_zero());
 }
 
-/// Failure: a node that was started anew gives a cold upstream what its earlier process has given it within the same second.
+/// Failure: a restarted node sends a cold upstream its full limit, although the earlier process has done so within the same second.
 #[test]
 fn wait_upstream_older_than_node() {
     let mut slow_start = SlowStart::new(at(10_000));
-    slow_start.record_report(told(Duration::from_secs(2)), at(10_050));
+    slow_start.record_report(report(Duration::from_secs(2)), at(10_050));
     let wait = slow_start.wait(0, at(10_050));
     assert!(wait >= Duration::from_millis(950), "{wait:?}");
     assert!(start_all(&mut slow_start, at(10_050) + wait) > 0);
@@ -80,33 +80,33 @@
 #[test]
 fn wait_upstream_started_with_node() {
     let mut slow_start = SlowStart::new(at(10_000));
-    slow_start.record_report(told(LASTS), at(10_050));
+    slow_start.record_report(report(WARMUP), at(10_050));
     assert_eq!(start_all(&mut slow_start, at(10_050)), LIMIT);
     assert!(slow_start.wait(0, at(10_060)) >= Duration::from_millis(950));
     assert!(slow_start.wait(LIMIT, at(10_060)) >= Duration::from_millis(1_950));
 }
 
-/// Failure: what an upstream got while it was still warm is not counted once it is cold.
+/// Failure: requests that an upstream got while it was still warm aren't counted after it becomes cold.
 #[test]
-fn wait_counts_starts_before() {
+fn wait_counts_starts_before_warmup() {
     let mut slow_start = SlowStart::new(at(0));
     for millis in [5_000, 5_100, 5_200, 5_300] {
         slow_start.record_start(at(millis));
     }
-    slow_start.record_report(told(LASTS), at(5_400));
+    slow_start.record_report(report(WARMUP), at(5_400));
     assert_eq!(start_all(&mut slow_start, at(5_400)), 1);
     assert_eq!(start_all(&mut slow_start, at(5_900)), 0);
     assert_eq!(start_all(&mut slow_start, at(6_025)), 1);
 }
 
-/// Failure: an upstream that crashed and started again under the identity that it had gets twice its limit within a second.
+/// Failure: an upstream that crashes and restarts under the same identity gets twice its limit within a second.
 #[test]
-fn wait_counts_starts_of_run_before() {
+fn wait_counts_starts_of_previous_incarnation() {
     let mut slow_start = SlowStart::new(at(0));
-    slow_start.record_report(told(LASTS), at(5_000));
+    slow_start.record_report(report(WARMUP), at(5_000));
     assert_eq!(start_all(&mut slow_start, at(5_000)), LIMIT);
     slow_start.begin_incarnation();
-    slow_start.record_report(told(LASTS), at(5_400));
+    slow_start.record_report(report(WARMUP), at(5_400));
     assert_eq!(start_all(&mut slow_start, at(5_400)), 0);
     assert_eq!(start_all(&mut slow_start, at(6_025)), LIMIT);
 }
@@ -114,65 +114,65 @@
 #[test]
 fn wait_ends_when_warm() {
     let mut slow_start = SlowStart::new(at(0));
-    slow_start.record_report(told(Duration::from_millis(300)), at(5_000));
+    slow_start.record_report(report(Duration::from_millis(300)), at(5_000));
     start_all(&mut slow_start, at(5_000));
     assert_eq!(slow_start.wait(0, at(5_000)), Duration::from_millis(300));
     assert_eq!(slow_start.wait(9, at(5_300)), Duration::ZERO);
 }
 
-/// Failure: over drawn arrivals, restarts of the node, runs of the upstream and times at which it becomes cold, a run that is cold and
-/// has said so gets more than its limit in some second.
+/// For any sequence of arrivals, node restarts, upstream restarts and warmups: an upstream that has reported that it is cold gets
+/// no more than its limit within any second.
 #[test]
-fn wait_keeps_bound_over_drawn_events() {
+fn wait_keeps_limit_over_random_events() {
     bolero::check!()
         .with_type::<Vec<(u8, u16)>>()
-        .for_each(|events| play(events));
+        .for_each(|events| run_events(events));
 }
 
-fn play(events: &[(u8, u16)]) {
+fn run_events(events: &[(u8, u16)]) {
     let mut now = at(60_000);
     let mut slow_start = SlowStart::new(now);
     let mut cold_since = now;
-    slow_start.record_report(told(LASTS), now);
+    slow_start.record_report(report(WARMUP), now);
     let mut starts: Vec<Timestamp> = Vec::new();
     for (event, pause) in events {
         now = now + Duration::from_millis(1 + u64::from(*pause % 700));
-        let left = LASTS.saturating_sub(now.since(cold_since));
+        let remaining = WARMUP.saturating_sub(now.since(cold_since));
         match event % 8 {
-            // The node's process ended a while ago, and starts anew.
+            // The node process has ended, and a new one starts after a pause.
             0 => {
                 now = now + Duration::from_millis(150);
                 slow_start = SlowStart::new(now);
-                let left = LASTS.saturating_sub(now.since(cold_since));
-                slow_start.record_report(told(left), now);
+                let remaining = WARMUP.saturating_sub(now.since(cold_since));
+                slow_start.record_report(report(remaining), now);
             }
             1 => {
                 cold_since = now;
                 slow_start.begin_incarnation();
-                slow_start.record_report(told(LASTS), now);
+                slow_start.record_report(report(WARMUP), now);
             }
             2 => {
                 cold_since = now;
-                slow_start.record_report(told(LASTS), now);
+                slow_start.record_report(report(WARMUP), now);
             }
-            3 => slow_start.record_report(told(left), now),
+            3 => slow_start.record_report(report(remaining), now),
             _ => {
                 for _ in 0..start_all(&mut slow_start, now) {
                     starts.push(now);
                 }
             }
         }
-        check(&starts, cold_since);
+        assert_limit(&starts, cold_since);
     }
 }
 
-/// No second of the cold time has more starts than the limit.
-fn check(starts: &[Timestamp], cold_since: Timestamp) {
-    let cold = cold_since..cold_since + LASTS;
-    let within = starts.iter().filter(|start| cold.contains(start));
-    let within: Vec<Timestamp> = within.copied().collect();
-    for first in &within {
-        let second = within
+/// Asserts that no second of the warmup has more starts than the limit.
+fn assert_limit(starts: &[Timestamp], cold_since: Timestamp) {
+    let warmup = cold_since..cold_since + WARMUP;
+    let during_warmup = starts.iter().filter(|start| warmup.contains(start));
+    let during_warmup: Vec<Timestamp> = during_warmup.copied().collect();
+    for first in &during_warmup {
+        let second = during_warmup
             .iter()
             .filter(|start| **start >= *first && start.since(*first) <= SECOND);
         let count = second.count();
