--- a/tests/integration/offer_rounds.rs
+++ b/tests/integration/offer_rounds.rs
@@ -1,4 +1,4 @@
-//! To which nodes of its zone a node offers the version in force.
+//! Choice of the nodes of a zone that a node offers the version in force to.
 
 use camphorturn::{
     coordination::{
@@ -21,7 +21,7 @@
     numbers.into_iter().map(node).collect()
 }
 
-/// A ring of nodes of which those in `having` have the version.
+/// Ring of the given nodes; those in `having` have the version.
 fn ring(numbers: impl IntoIterator<Item = u8>, having: &[u8]) -> Vec<RingNode> {
     let ring = numbers.into_iter().map(|number| RingNode {
         address: node(number),
@@ -35,10 +35,10 @@
 }
 
 #[test]
-fn plan_tree_each_once() {
+fn plan_tree_offers_once() {
     let mut rounds = OfferRounds::default();
-    let told = rounds.plan_tree(VERSION, nodes(0..100).into_iter());
-    assert_eq!(told, nodes(0..100));
+    let offered = rounds.plan_tree(VERSION, nodes(0..100).into_iter());
+    assert_eq!(offered, nodes(0..100));
     let again = rounds.plan_tree(VERSION, nodes(0..100).into_iter());
     assert_eq!(again, []);
     let joined = rounds.plan_tree(VERSION, nodes(98..102).into_iter());
@@ -49,19 +49,19 @@
 fn plan_tree_new_version() {
     let mut rounds = OfferRounds::default();
     rounds.plan_tree(VERSION, nodes(0..3).into_iter());
-    let told = rounds.plan_tree(NEXT, nodes(0..3).into_iter());
-    assert_eq!(told, nodes(0..3));
+    let offered = rounds.plan_tree(NEXT, nodes(0..3).into_iter());
+    assert_eq!(offered, nodes(0..3));
 }
 
 #[test]
-fn plan_checks_next_that_has_it() {
+fn plan_checks_successor_has_version() {
     let mut rounds = OfferRounds::default();
     assert_eq!(rounds.plan_checks(VERSION, &ring(1..9, &[1]), START), []);
     assert_eq!(rounds.plan_checks(VERSION, &[], START), []);
 }
 
 #[test]
-fn plan_checks_again_after_pauses() {
+fn plan_checks_repeats_after_pauses() {
     let mut rounds = OfferRounds::default();
     let lacking = ring([1], &[]);
     assert_eq!(rounds.plan_checks(VERSION, &lacking, START), nodes([1]));
@@ -73,10 +73,10 @@
     }
 }
 
-/// Symptom: nodes after a lost one keep the older version. Cause: the one before it asks the lost one, and nobody asks the
-/// ones after it.
+/// Failure: the nodes after a lost one keep the older version. The node before it offers the version only to the lost one, and no
+/// node offers it to the ones after.
 #[test]
-fn plan_checks_beyond_nodes_that_do_not_answer() {
+fn plan_checks_beyond_unresponsive_nodes() {
     let mut rounds = OfferRounds::default();
     let lacking = ring(1..20, &[]);
     let first = rounds.plan_checks(VERSION, &lacking, START);
@@ -85,22 +85,22 @@
     assert_eq!(second, nodes([1, 2]));
     let third = rounds.plan_checks(VERSION, &lacking, at(1_000));
     assert_eq!(third, nodes([2, 3]));
-    let mut asked = Vec::new();
+    let mut offered = Vec::new();
     for round in 3..40 {
-        asked.extend(rounds.plan_checks(VERSION, &lacking, at(500 * round)));
+        offered.extend(rounds.plan_checks(VERSION, &lacking, at(500 * round)));
     }
-    asked.sort_unstable();
-    asked.dedup();
-    assert_eq!(asked, nodes(1..9), "eight at the most");
+    offered.sort_unstable();
+    offered.dedup();
+    assert_eq!(offered, nodes(1..9), "at most eight");
 }
 
 #[test]
-fn plan_checks_up_to_who_has_it() {
+fn plan_checks_stops_at_node_with_version() {
     let mut rounds = OfferRounds::default();
     let lacking = ring(1..9, &[3]);
     for round in 0..10 {
-        let asked = rounds.plan_checks(VERSION, &lacking, at(500 * round));
-        assert!(!asked.contains(&node(4)), "{asked:?}");
+        let offered = rounds.plan_checks(VERSION, &lacking, at(500 * round));
+        assert!(!offered.contains(&node(4)), "{offered:?}");
     }
 }
 
@@ -113,13 +113,13 @@
     assert_eq!(rounds.plan_checks(NEXT, &lacking, at(401)), nodes([1]));
 }
 
-/// Each node is asked by one other, whatever the addresses.
+/// For any addresses, each node is the successor of exactly one other.
 #[test]
-fn order_ring_each_node_once() {
+fn order_ring_one_predecessor_per_node() {
     bolero::check!()
         .with_type::<Vec<(u8, u16)>>()
-        .for_each(|drawn| {
-            let mut all: Vec<SocketAddr> = drawn
+        .for_each(|addresses| {
+            let mut all: Vec<SocketAddr> = addresses
                 .iter()
                 .map(|(host, port)| SocketAddr::from(([10, 0, 0, *host], *port)))
                 .collect();
--- a/tests/integration/publishing.rs
+++ b/tests/integration/publishing.rs
@@ -1,4 +1,4 @@
-//! Publications: what is decided about them, and how they end on a store that loses answers.
+//! Decisions on publications, and their outcomes on a store whose responses may be lost.
 
 use bolero::check;
 use camphorturn::{
@@ -16,9 +16,9 @@
 
 const SAMPLE: &str = include_str!("../../samples/configuration.jsonc");
 
-/// The sample with another target of its second class.
+/// Sample configuration with a different latency target of its second class.
 fn configuration(target_ms: u32) -> Configuration {
-    let mut sample = check_configuration("sample", SAMPLE).expect("the sample is right");
+    let mut sample = check_configuration("sample", SAMPLE).expect("the sample is valid");
     sample.classes[1].target_ms = target_ms;
     sample
 }
@@ -33,25 +33,25 @@
     }
 }
 
-fn store(newest: Option<&PublishedRecord>, request: &PublicationRequest) -> PublishedRecord {
+fn plan_record(newest: Option<&PublishedRecord>, request: &PublicationRequest) -> PublishedRecord {
     match plan_publication(newest, request, 5) {
         PublicationPlan::Store(record) => *record,
-        PublicationPlan::Done(outcome) => panic!("not to be stored: {outcome:?}"),
+        PublicationPlan::Done(outcome) => panic!("unexpected end: {outcome:?}"),
     }
 }
 
-fn finish(newest: &PublishedRecord, request: &PublicationRequest) -> PublicationOutcome {
+fn plan_end(newest: &PublishedRecord, request: &PublicationRequest) -> PublicationOutcome {
     match plan_publication(Some(newest), request, 5) {
         PublicationPlan::Done(outcome) => outcome,
-        PublicationPlan::Store(record) => panic!("to be stored again: {record:?}"),
+        PublicationPlan::Store(record) => panic!("unexpected record: {record:?}"),
     }
 }
 
 #[test]
-fn plan_first_and_next() {
-    let first = store(None, &request(1, Some(0), 150));
+fn plan_publication_first_and_next() {
+    let first = plan_record(None, &request(1, Some(0), 150));
     assert_eq!(first.entry.version, ConfigurationVersion(1));
-    let second = store(Some(&first), &request(2, Some(1), 120));
+    let second = plan_record(Some(&first), &request(2, Some(1), 120));
     assert_eq!(second.entry.version, ConfigurationVersion(2));
     assert_eq!(
         second.entry.changes,
@@ -61,22 +61,22 @@
 }
 
 #[test]
-fn plan_same_content_is_in_force() {
-    let first = store(None, &request(1, None, 150));
+fn plan_publication_same_content() {
+    let first = plan_record(None, &request(1, None, 150));
     let version = ConfigurationVersion(1);
     assert_eq!(
-        finish(&first, &request(2, None, 150)),
+        plan_end(&first, &request(2, None, 150)),
         PublicationOutcome::AlreadyInForce { version }
     );
 }
 
-/// Symptom: a change that another operator published is undone. Sequence: two operators change the same
-/// version; the second publishes over the first. Cause: what it was based on was not compared.
+/// Failure: a publication reverts a change of another operator. Two operators change the same version, and the second publication
+/// replaces the first because the version that it is based on isn't compared.
 #[test]
-fn plan_conflict_names_what_came_between() {
-    let first = store(None, &request(1, None, 150));
-    let second = store(Some(&first), &request(2, Some(1), 120));
-    let outcome = finish(&second, &request(3, Some(1), 130));
+fn plan_publication_conflict_lists_later_entries() {
+    let first = plan_record(None, &request(1, None, 150));
+    let second = plan_record(Some(&first), &request(2, Some(1), 120));
+    let outcome = plan_end(&second, &request(3, Some(1), 130));
     let PublicationOutcome::Conflict {
         in_force,
         meanwhile,
@@ -89,14 +89,14 @@
     assert_eq!(meanwhile, [second.entry]);
 }
 
-/// Symptom: a later change is undone by an earlier publication. Sequence: the answer to a publication is
-/// lost, another one follows, the first is sent again. Cause: it was not recognised.
+/// Failure: an earlier publication reverts a later change. The response to the first publication is lost, another publication
+/// follows, and the first is sent again without being recognised.
 #[test]
-fn plan_sent_again_is_found() {
-    let first = store(None, &request(1, None, 150));
-    let second = store(Some(&first), &request(2, None, 120));
+fn plan_publication_recognises_retry() {
+    let first = plan_record(None, &request(1, None, 150));
+    let second = plan_record(Some(&first), &request(2, None, 120));
     assert_eq!(
-        finish(&second, &request(1, None, 150)),
+        plan_end(&second, &request(1, None, 150)),
         PublicationOutcome::Accepted {
             version: ConfigurationVersion(1),
             in_force: ConfigurationVersion(2),
@@ -104,24 +104,24 @@
     );
 }
 
-/// One step of two publishers on a store that may lose answers and take appends late.
+/// Step of one of two publishers on a store whose responses may be lost and whose appends may be delayed.
 #[derive(Clone, Copy, Debug)]
 enum Step {
-    /// A publisher reads and plans.
+    /// A publisher reads the newest record and plans its publication.
     Read(usize),
-    /// It stores what it planned, if nothing came between; the answer may be lost.
+    /// A publisher stores the planned record if no other was stored since; the response is lost if the flag is set.
     Store(usize, bool),
 }
 
-/// A publisher in the middle of its work.
+/// State of a publisher: its planned record with the length of the log, and the outcome that it got.
 #[derive(Clone, Debug, Default)]
 struct Publisher {
     planned: Option<(Box<PublishedRecord>, usize)>,
-    told: Option<PublicationOutcome>,
+    reported: Option<PublicationOutcome>,
 }
 
-/// Whatever is lost and in whatever order two publishers act: versions rise by one, each publication
-/// is stored once at most, and who is told `accepted` finds it among the versions.
+/// For any order of steps and any lost responses: versions increase by one, each publication is stored at most once, and a
+/// publisher that got `accepted` has its publication among the versions.
 #[test]
 fn publish_any_order_and_loss() {
     check!()
@@ -130,35 +130,35 @@
             let mut log: Vec<PublishedRecord> = Vec::new();
             let requests = [request(1, None, 120), request(2, None, 130)];
             let mut publishers = [Publisher::default(), Publisher::default()];
-            for (second, reads, lost) in steps {
-                let who = usize::from(*second);
+            for (second, reads, response_lost) in steps {
+                let index = usize::from(*second);
                 let step = if *reads {
-                    Step::Read(who)
+                    Step::Read(index)
                 } else {
-                    Step::Store(who, *lost)
+                    Step::Store(index, *response_lost)
                 };
-                take_step(&mut log, &requests, &mut publishers, step);
+                perform_step(&mut log, &requests, &mut publishers, step);
             }
             assert_log(&log, &publishers);
         });
 }
 
-fn take_step(
+fn perform_step(
     log: &mut Vec<PublishedRecord>,
     requests: &[PublicationRequest; 2],
     publishers: &mut [Publisher; 2],
     step: Step,
 ) {
     match step {
-        Step::Read(who) => {
-            let publisher = &mut publishers[who];
-            match plan_publication(log.last(), &requests[who], 5) {
-                PublicationPlan::Done(outcome) => publisher.told = Some(outcome),
+        Step::Read(index) => {
+            let publisher = &mut publishers[index];
+            match plan_publication(log.last(), &requests[index], 5) {
+                PublicationPlan::Done(outcome) => publisher.reported = Some(outcome),
                 PublicationPlan::Store(record) => publisher.planned = Some((record, log.len())),
             }
         }
-        Step::Store(who, lost) => {
-            let Some((record, end)) = publishers[who].planned.take() else {
+        Step::Store(index, response_lost) => {
+            let Some((record, end)) = publishers[index].planned.take() else {
                 return;
             };
             if end != log.len() {
@@ -166,8 +166,8 @@
             }
             let version = record.entry.version;
             log.push(*record);
-            if !lost {
-                publishers[who].told = Some(PublicationOutcome::Accepted {
+            if !response_lost {
+                publishers[index].reported = Some(PublicationOutcome::Accepted {
                     version,
                     in_force: version,
                 });
@@ -184,7 +184,7 @@
         assert_eq!(before, None, "stored twice");
     }
     for (publisher, id) in publishers.iter().zip(1..) {
-        if let Some(PublicationOutcome::Accepted { version, .. }) = publisher.told {
+        if let Some(PublicationOutcome::Accepted { version, .. }) = publisher.reported {
             assert_eq!(stored.get(&Uuid::from_u128(id)), Some(&version));
         }
     }
--- a/tests/integration/version_lag.rs
+++ b/tests/integration/version_lag.rs
@@ -30,9 +30,9 @@
     assert!(!lag.is_overdue(ConfigurationVersion(6), after(5_000), LIMIT));
 }
 
-/// Guards against versions in quick succession that each put off the refusal.
+/// Failure: when versions follow each other quickly, each one postpones the time at which the node counts as overdue.
 #[test]
-fn is_overdue_newer_versions_keep_coming() {
+fn is_overdue_frequent_newer_versions() {
     let mut lag = VersionLag::default();
     for number in 0..40 {
         lag.record_report(ConfigurationVersion(6 + number), OWN, after(number * 100));
@@ -59,29 +59,29 @@
     assert!(!lag.is_overdue(OWN, after(20_500), LIMIT));
 }
 
-/// A node with the newest reported version in force is never overdue, and one that is overdue was told of a newer version more
-/// than the limit ago.
+/// For any reports: a node with the newest reported version in force is never overdue, and an overdue node got a report of a newer
+/// version more than the limit ago.
 #[test]
-fn is_overdue_drawn_reports() {
+fn is_overdue_random_reports() {
     check!()
         .with_type::<Vec<(u8, u8, u16)>>()
         .for_each(|reports| {
             let mut lag = VersionLag::default();
             let (mut own, mut now) = (OWN, START);
             let mut newest = OWN;
-            let mut told: Vec<(ConfigurationVersion, Timestamp)> = Vec::new();
+            let mut reported: Vec<(ConfigurationVersion, Timestamp)> = Vec::new();
             for (version, step, pause) in reports {
                 now = now + Duration::from_millis(u64::from(*pause));
                 let version = ConfigurationVersion(u64::from(*version));
                 lag.record_report(version, own, now);
                 newest = newest.max(version);
-                told.push((version, now));
+                reported.push((version, now));
                 assert!(!lag.is_overdue(newest, now, Duration::ZERO));
                 if lag.is_overdue(own, now, LIMIT) {
-                    let known = told
+                    let has_old_report = reported
                         .iter()
                         .any(|(version, since)| *version > own && now.since(*since) > LIMIT);
-                    assert!(known, "{own:?} at {now:?}: {told:?}");
+                    assert!(has_old_report, "{own:?} at {now:?}: {reported:?}");
                 }
                 own = own.max(ConfigurationVersion(u64::from(*step)));
             }
