--- a/src/proxy/core/mesh_roles.rs
+++ b/src/proxy/core/mesh_roles.rs
@@ -48,9 +48,10 @@
         self.find_reading_role() != ReadingRole::Other
     }
 
-    /// Whether this node performs the tasks that one node performs for the whole mesh. Nodes that know different nodes may both do so.
+    /// Whether this node ranks first among the reachable nodes and performs the tasks for which one node of the mesh is enough. Two
+    /// nodes that know different nodes may both be first.
     #[must_use]
-    pub fn is_mesh_coordinator(&self) -> bool {
+    pub fn is_first_in_mesh(&self) -> bool {
         is_first(
             self.settings.peers,
             self.list_reachable(|_| true).into_iter(),
--- a/src/proxy/crash_detection.rs
+++ b/src/proxy/crash_detection.rs
@@ -152,9 +152,9 @@
 }
 
 /// Corrects the quarantines in the store after its restore from a copy: writes those that the copy lacks and deletes those that were
-/// lifted since. Only the mesh coordinator does so. `stored` holds the quarantines in the copy.
+/// lifted since. Only the first node of the mesh does so. `stored` holds the quarantines in the copy.
 pub fn write_lost_quarantines(core: &ProxyCore, stored: &BTreeSet<RequestFingerprint>) {
-    if !core.is_mesh_coordinator() {
+    if !core.is_first_in_mesh() {
         return;
     }
     let now = core.timers.now();
@@ -227,7 +227,7 @@
     let core = Rc::clone(core);
     spawn_local(async move {
         let _ = core.timers.after(QUARANTINE_DURATION).recv_async().await;
-        if core.is_mesh_coordinator() {
+        if core.is_first_in_mesh() {
             queue_store_write(&core, fingerprint);
         }
     });
@@ -249,7 +249,7 @@
     core.log(&ProxyEvent::QuarantineLifted {
         digest: fingerprint,
     });
-    if source == QuarantineSource::Counted || core.is_mesh_coordinator() {
+    if source == QuarantineSource::Counted || core.is_first_in_mesh() {
         queue_store_write(core, fingerprint);
     }
 }
--- a/src/proxy/retiring.rs
+++ b/src/proxy/retiring.rs
@@ -34,7 +34,7 @@
     let mut last_probe = core.timers.now();
     loop {
         let _ = core.timers.after(CHECK_INTERVAL).recv_async().await;
-        if core.is_stopping() || !core.is_mesh_coordinator() {
+        if core.is_stopping() || !core.is_first_in_mesh() {
             tracker = RetirementTracker::default();
             let now = core.timers.now();
             if now.since(last_probe) >= PREDECESSOR_PROBE_INTERVAL {
