--- a/tests/integration/outgoing.rs
+++ b/tests/integration/outgoing.rs
@@ -1,4 +1,4 @@
-//! Answers that are no answers: whatever an upstream sends, a request ends, and only a whole answer counts.
+//! Tests of outgoing connections: malformed and truncated answers, and the reuse of idle connections.
 
 use bolero::check;
 use bytes::Bytes;
@@ -16,7 +16,7 @@
     task::{LocalSet, spawn_local, yield_now},
 };
 
-fn options(reuse: ConnectionReuse) -> SendOptions {
+fn build_options(reuse: ConnectionReuse) -> SendOptions {
     SendOptions {
         reuse,
         connect_timeout: Duration::from_secs(20),
@@ -26,16 +26,16 @@
     }
 }
 
-/// Reads whatever comes first, sends these bytes and closes.
+/// Starts a server that accepts one connection, reads once, sends `bytes` and closes the connection.
 async fn serve_once(bytes: Vec<u8>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let address = listener.local_addr().expect("a bound listener");
     spawn_local(async move {
         if let Ok((mut stream, _)) = listener.accept().await {
-            let mut question = [0; 1_024];
-            let read = stream.read(&mut question).await.unwrap_or(0);
+            let mut buffer = [0; 1_024];
+            let read = stream.read(&mut buffer).await.unwrap_or(0);
             if read > 0 {
-                // The other side may have closed already.
+                // Fails if the client has closed the connection already.
                 let _ = stream.write_all(&bytes).await;
             }
         }
@@ -43,7 +43,7 @@
     address
 }
 
-/// The body of the answer, if the bytes were taken as one.
+/// Sends a request to a server that answers with `bytes`, and returns the answer's body; `None` if the request failed.
 fn send_and_read(bytes: Vec<u8>) -> Option<Bytes> {
     let runtime = Builder::new_current_thread()
         .enable_all()
@@ -53,7 +53,7 @@
         let timers = TimerService::system();
         let outgoing: Rc<OutgoingConnections> = OutgoingConnections::new(timers.clone());
         let address = serve_once(bytes).await;
-        let options = options(ConnectionReuse::Never);
+        let options = build_options(ConnectionReuse::Never);
         let request = Request::new(Full::new(Bytes::new()));
         let sent = outgoing.send(address, request, options, |_| true).await;
         timers.stop();
@@ -69,18 +69,22 @@
 }
 
 #[test]
-fn send_cut_answer_is_none() {
+fn send_truncated_answer_fails() {
     let whole = b"HTTP/1.1 200 OK\r\ncontent-length: 10\r\n\r\nwhole body".to_vec();
     assert_eq!(
         send_and_read(whole.clone()).as_deref(),
         Some(&b"whole body"[..])
     );
     for end in 0..whole.len() {
-        assert_eq!(send_and_read(whole[..end].to_vec()), None, "cut at {end}");
+        assert_eq!(
+            send_and_read(whole[..end].to_vec()),
+            None,
+            "truncated at {end}"
+        );
     }
 }
 
-/// Answers every request, and counts the connections.
+/// Starts a server that answers every request, and counts its connections in `connections`.
 async fn serve_and_count(connections: Rc<Cell<usize>>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let address = listener.local_addr().expect("a bound listener");
@@ -88,8 +92,8 @@
         while let Ok((mut stream, _)) = listener.accept().await {
             connections.set(connections.get() + 1);
             spawn_local(async move {
-                let mut question = [0; 1_024];
-                while stream.read(&mut question).await.is_ok_and(|read| read > 0) {
+                let mut buffer = [0; 1_024];
+                while stream.read(&mut buffer).await.is_ok_and(|read| read > 0) {
                     let answer = b"HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n";
                     if stream.write_all(answer).await.is_err() {
                         return;
@@ -101,10 +105,10 @@
     address
 }
 
-/// Failure: what must run once is sent on a connection that the other side may have dropped meanwhile, or opens a connection although
-/// one was used a moment ago.
+/// Guards against two failures: a request that must not run twice is sent on a connection that the other side may have
+/// dropped while it was idle, or a connection is opened although one was used just before.
 #[test]
-fn send_reuses_what_was_used_a_moment_ago() {
+fn send_reuses_recently_used_connection() {
     let runtime = Builder::new_current_thread()
         .enable_all()
         .build()
@@ -114,20 +118,20 @@
         let outgoing = OutgoingConnections::new(timers.clone());
         let connections = Rc::new(Cell::new(0));
         let address = serve_and_count(Rc::clone(&connections)).await;
-        let once = ConnectionReuse::for_request(false);
+        let non_idempotent = ConnectionReuse::for_request(false);
         for (pause, reuse, opened) in [
-            (0, once, 1),
-            (100, once, 1),
-            (200, once, 2),
+            (0, non_idempotent, 1),
+            (100, non_idempotent, 1),
+            (200, non_idempotent, 2),
             (900, ConnectionReuse::Any, 2),
             (0, ConnectionReuse::Never, 3),
         ] {
             timers.advance(Duration::from_millis(pause));
-            let options = options(reuse);
+            let options = build_options(reuse);
             let request = Request::new(Full::new(Bytes::new()));
             let sent = outgoing.send(address, request, options, |_| true).await;
             assert!(sent.is_ok(), "after {pause} ms");
-            // The connection is kept once the other tasks have had their turns.
+            // The connection returns to the pool after other tasks have run.
             for _ in 0..20 {
                 yield_now().await;
             }
