--- a/tests/integration/retiring_model.rs
+++ b/tests/integration/retiring_model.rs
@@ -1,8 +1,9 @@
-//! Explores the dropping of records while nodes are lost, started anew at the same address, cut off and late.
+//! Model of the removal of node records while nodes are lost, restarted at the same address, disconnected and delayed.
 //!
-//! One node may live or not; another one watches it and reads the store late; a third one, started anew, is told by
-//! peers and reads the store late. The store is a log of one key. Breadth first: a broken invariant comes with its
-//! shortest sequence of steps. The code explored for the third node is [`Directory`].
+//! There are three nodes. The first may be running or not. The second tracks it, and reads the store with delays. The third, which
+//! was restarted, gets records from peers and reads the store with delays. The store is a log of one key. All reachable states are
+//! explored breadth first, so a violated invariant is reported with its shortest sequence of steps. The third node runs the node's
+//! own code, [`Directory`].
 
 use camphorturn::{
     proxy::directory::{Directory, StateSource},
@@ -13,63 +14,66 @@
 };
 use pathfinding::prelude::{bfs, bfs_reach};
 
-/// Most records that the store takes in one exploration.
-const RECORDS: usize = 5;
-/// Most starts of the node.
-const STARTS: u8 = 3;
+/// Maximum number of records in the store.
+const MAX_RECORDS: usize = 5;
+/// Maximum number of starts of the first node.
+const MAX_STARTS: u8 = 3;
 
-/// A rule taken out, to show that the model finds what it prevents.
+/// Rule that is left out, to show that the model finds the violation that the rule prevents.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Without {
     Nothing,
-    /// A record is dropped only if the store has nothing newer.
+    /// A record is removed only if the store has no newer one.
     Condition,
-    /// A node that finds its record dropped writes it again.
-    WritingAgain,
-    /// What a peer tells from a part of the store that is known is not news.
-    KnownPart,
+    /// A node whose record was removed writes it again.
+    RewriteAfterRemoval,
+    /// A record from a peer is ignored if it stems from a part of the store that has been read already.
+    ReadPosition,
 }
 
-/// What the node's key holds after a record of the log.
+/// Entry of the log for the key of the first node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Entry {
-    Run(u8),
-    Dropped,
+    /// Record written by this incarnation.
+    Written(u8),
+    Removed,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct World {
     log: Vec<Entry>,
-    /// The run that the node is in; none if its VM is gone.
-    alive: Option<u8>,
+    /// Incarnation of the first node; none if its VM no longer exists.
+    running: Option<u8>,
     starts: u8,
-    /// Records that the node has read back, and whether it has one to write.
+    /// Number of log entries that the first node has read, and whether it has a record to write.
     node_read: usize,
-    node_writes: bool,
-    /// Records that the watching node has read.
-    watch_read: usize,
-    /// A drop that was sent and has not reached the store yet, with the end that it expects.
-    drop_sent: Option<usize>,
-    /// What the third node did: records told by a peer (revision) and reads of the store (up to), in order.
+    has_record_to_write: bool,
+    /// Number of log entries that the tracking node has read.
+    tracker_read: usize,
+    /// Removal that was sent and has not reached the store yet: the log length that it expects.
+    pending_removal: Option<usize>,
+    /// Steps of the third node, in order.
     third: Vec<Step>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Step {
-    Told(usize),
+    /// Received the record of this revision from a peer.
+    FromPeer(usize),
+    /// Read the store up to this revision.
     Read(usize),
 }
 
 impl World {
     fn start() -> Self {
         Self {
-            log: vec![Entry::Run(1)],
-            alive: Some(1),
+            log: vec![Entry::Written(1)],
+            running: Some(1),
             starts: 1,
             node_read: 1,
-            node_writes: false,
-            watch_read: 1,
-            drop_sent: None,
+            has_record_to_write: false,
+            tracker_read: 1,
+            pending_removal: None,
             third: Vec::new(),
         }
     }
@@ -77,66 +81,66 @@
     fn steps(&self, without: Without) -> Vec<Self> {
         let mut next = Vec::new();
         self.step_node(without, &mut next);
-        self.step_watch(without, &mut next);
+        self.step_tracker(without, &mut next);
         self.step_third(&mut next);
         next
     }
 
     fn step_node(&self, without: Without, next: &mut Vec<Self>) {
-        if self.alive.is_some() {
+        if self.running.is_some() {
             next.push(Self {
-                alive: None,
-                node_writes: false,
+                running: None,
+                has_record_to_write: false,
                 ..self.clone()
             });
-        } else if self.starts < STARTS {
+        } else if self.starts < MAX_STARTS {
             next.push(Self {
-                alive: Some(self.starts + 1),
+                running: Some(self.starts + 1),
                 starts: self.starts + 1,
                 node_read: self.log.len(),
-                node_writes: true,
+                has_record_to_write: true,
                 ..self.clone()
             });
         }
-        let Some(run) = self.alive else {
+        let Some(incarnation) = self.running else {
             return;
         };
-        if self.node_writes && self.log.len() < RECORDS {
+        if self.has_record_to_write && self.log.len() < MAX_RECORDS {
             let mut world = self.clone();
-            world.log.push(Entry::Run(run));
-            world.node_writes = false;
+            world.log.push(Entry::Written(incarnation));
+            world.has_record_to_write = false;
             next.push(world);
         }
         if self.node_read < self.log.len() {
             let mut world = self.clone();
             let entry = self.log[self.node_read];
             world.node_read += 1;
-            if entry == Entry::Dropped && without != Without::WritingAgain {
-                world.node_writes = true;
+            if entry == Entry::Removed && without != Without::RewriteAfterRemoval {
+                world.has_record_to_write = true;
             }
             next.push(world);
         }
     }
 
-    /// The watching node may take any node for gone: it and its witnesses may all be cut off from it.
-    fn step_watch(&self, without: Without, next: &mut Vec<Self>) {
-        if self.watch_read < self.log.len() {
+    /// The tracking node may consider any node lost: it and the nodes that it asks may all be disconnected from that node.
+    fn step_tracker(&self, without: Without, next: &mut Vec<Self>) {
+        if self.tracker_read < self.log.len() {
             let mut world = self.clone();
-            world.watch_read += 1;
+            world.tracker_read += 1;
             next.push(world);
         }
-        let known = self.log[..self.watch_read].last();
-        if self.drop_sent.is_none() && matches!(known, Some(Entry::Run(_))) {
+        let known = self.log[..self.tracker_read].last();
+        if self.pending_removal.is_none() && matches!(known, Some(Entry::Written(_))) {
             let mut world = self.clone();
-            world.drop_sent = Some(self.watch_read);
+            world.pending_removal = Some(self.tracker_read);
             next.push(world);
         }
-        if let Some(expected) = self.drop_sent {
+        if let Some(expected) = self.pending_removal {
             let mut world = self.clone();
-            world.drop_sent = None;
-            let holds = expected == self.log.len() || without == Without::Condition;
-            if holds && self.log.len() < RECORDS {
-                world.log.push(Entry::Dropped);
+            world.pending_removal = None;
+            let is_permitted = expected == self.log.len() || without == Without::Condition;
+            if is_permitted && self.log.len() < MAX_RECORDS {
+                world.log.push(Entry::Removed);
             }
             next.push(world);
         }
@@ -147,8 +151,8 @@
             return;
         }
         for (offset, entry) in self.log.iter().enumerate() {
-            if matches!(entry, Entry::Run(_)) {
-                next.push(self.with_third(Step::Told(offset + 1)));
+            if matches!(entry, Entry::Written(_)) {
+                next.push(self.with_third(Step::FromPeer(offset + 1)));
             }
         }
         next.push(self.with_third(Step::Read(self.log.len())));
@@ -160,13 +164,13 @@
         world
     }
 
-    /// Revision of the record that the third node knows, by the node's own code.
+    /// Revision of the record that the third node has, according to the node's own code.
     fn known_by_third(&self, without: Without) -> Option<u64> {
         let mut directory = Directory::default();
         for step in &self.third {
             match *step {
-                Step::Told(revision) => {
-                    let source = if without == Without::KnownPart {
+                Step::FromPeer(revision) => {
+                    let source = if without == Without::ReadPosition {
                         StateSource::Store
                     } else {
                         StateSource::Peer
@@ -176,15 +180,15 @@
                 Step::Read(up_to) => self.read_whole(&mut directory, up_to),
             }
         }
-        let view = directory.nodes.into_values().next();
-        view.map(|view| view.revision)
+        let node = directory.nodes.into_values().next();
+        node.map(|node| node.revision)
     }
 
-    /// Reads the newest records, as a node does at its start and after the store has deleted what it asked for.
+    /// Reads the newest records, as a node does at its start and after the store has deleted the entries that it would read next.
     fn read_whole(&self, directory: &mut Directory, up_to: usize) {
         let end = up_to as u64;
         match self.log[..up_to].last() {
-            Some(Entry::Run(_)) => {
+            Some(Entry::Written(_)) => {
                 directory.apply_record(self.stored(up_to), StateSource::Store);
             }
             _ => {
@@ -195,9 +199,9 @@
     }
 
     fn stored(&self, revision: usize) -> StoredRecord {
-        let run = match self.log[revision - 1] {
-            Entry::Run(run) => run,
-            Entry::Dropped => 0,
+        let incarnation = match self.log[revision - 1] {
+            Entry::Written(incarnation) => incarnation,
+            Entry::Removed => 0,
         };
         StoredRecord {
             revision: revision as u64,
@@ -207,7 +211,7 @@
                 service: "desk".into(),
                 availability_zone: "a".into(),
                 incarnation: IncarnationId {
-                    instance: run.to_string(),
+                    instance: incarnation.to_string(),
                     started_ms: None,
                 },
                 slots: 6,
@@ -217,44 +221,44 @@
         }
     }
 
-    /// Nothing is under way and everybody has read all.
+    /// Whether no message is in transit and the tracking node and the running first node have read the whole log.
     fn is_settled(&self) -> bool {
-        self.drop_sent.is_none()
-            && !self.node_writes
-            && self.watch_read == self.log.len()
-            && (self.alive.is_none() || self.node_read == self.log.len())
+        self.pending_removal.is_none()
+            && !self.has_record_to_write
+            && self.tracker_read == self.log.len()
+            && (self.running.is_none() || self.node_read == self.log.len())
     }
 
-    /// A node that lives and has nothing left to write is in the store.
-    fn loses_living_node(&self) -> bool {
-        let Some(run) = self.alive else {
+    /// Violation: the store lacks the record of a running node that has nothing left to write.
+    fn loses_running_node(&self) -> bool {
+        let Some(incarnation) = self.running else {
             return false;
         };
-        self.is_settled() && self.log.last() != Some(&Entry::Run(run))
+        self.is_settled() && self.log.last() != Some(&Entry::Written(incarnation))
     }
 
-    /// A drop decided by what was known of one run takes away the record of a later one.
-    fn drops_unread_record(&self) -> bool {
+    /// Violation: a removal that was decided on the record of one incarnation removes the record of a later one.
+    fn removes_later_record(&self) -> bool {
         self.log.iter().enumerate().any(|(offset, entry)| {
-            *entry == Entry::Dropped && offset > 1 && self.log[offset - 1] == Entry::Dropped
+            *entry == Entry::Removed && offset > 1 && self.log[offset - 1] == Entry::Removed
         })
     }
 
-    /// The last thing that the third node learned is older than what it had read, and it believes it.
-    fn revives_dropped_node(&self, without: Without) -> bool {
+    /// Violation: the third node accepts from a peer, as its last step, a record whose removal it has read already.
+    fn restores_removed_record(&self, without: Without) -> bool {
         let Some((last, before)) = self.third.split_last() else {
             return false;
         };
-        let Step::Told(revision) = *last else {
+        let Step::FromPeer(revision) = *last else {
             return false;
         };
         let read = before.iter().filter_map(|step| match step {
             Step::Read(up_to) => Some(*up_to),
-            Step::Told(_) => None,
+            Step::FromPeer(_) => None,
         });
         let read = read.max().unwrap_or(0);
-        let was_dropped = read >= revision && self.log[revision..read].contains(&Entry::Dropped);
-        was_dropped && self.known_by_third(without) == Some(revision as u64)
+        let was_removed = read >= revision && self.log[revision..read].contains(&Entry::Removed);
+        was_removed && self.known_by_third(without) == Some(revision as u64)
     }
 }
 
@@ -263,9 +267,9 @@
         &World::start(),
         |world| world.steps(without),
         |world| {
-            world.loses_living_node()
-                || world.drops_unread_record()
-                || world.revives_dropped_node(without)
+            world.loses_running_node()
+                || world.removes_later_record()
+                || world.restores_removed_record(without)
         },
     )
 }
@@ -278,23 +282,23 @@
     assert!(explored > 1_000, "{explored} states");
 }
 
-/// Symptom: a record that was just written is dropped. Sequence: the node was started anew after the watching node
-/// read its old record. Cause: the drop did not ask whether the store had something newer.
+/// Failure: a record that was just written is removed. The first node restarts after the tracking node has read its old record,
+/// and the removal doesn't check whether the store has a newer one.
 #[test]
 fn explore_without_condition() {
     assert!(find_violation(Without::Condition).is_some());
 }
 
-/// Symptom: a node gets no work any more. Sequence: it was cut off from all others for long; its record was dropped.
-/// Cause: it took its record for written.
+/// Failure: a node gets no requests any more. It was disconnected from all others for a long time and its record was removed, but
+/// it assumes that its record is stored.
 #[test]
-fn explore_without_writing_again() {
-    assert!(find_violation(Without::WritingAgain).is_some());
+fn explore_without_rewrite_after_removal() {
+    assert!(find_violation(Without::RewriteAfterRemoval).is_some());
 }
 
-/// Symptom: a node that is gone is asked again and again. Sequence: a peer that has not read of the drop tells one
-/// that has. Cause: what a peer tells was believed over the store.
+/// Failure: a lost node is contacted again and again. A peer that has not read the removal sends the record to a node that has,
+/// and that node accepts it.
 #[test]
-fn explore_without_known_part() {
-    assert!(find_violation(Without::KnownPart).is_some());
+fn explore_without_read_position() {
+    assert!(find_violation(Without::ReadPosition).is_some());
 }
