--- a/tests/integration/mesh_model.rs
+++ b/tests/integration/mesh_model.rs
@@ -1,9 +1,9 @@
-//! Explores what nodes believe of upstreams and versions, over a store and other nodes that answer late,
-//! in any order, or not at all, with restarts in between.
+//! Model of what nodes know of upstreams and configuration versions, with a store and other nodes that respond late, in any order
+//! or not at all, and with restarts in between.
 //!
-//! The states are small: one upstream with two runs, its node, one other node, two versions of the
-//! configuration. The code explored is that of the node: [`LocalUpstream`] and [`Directory`]. Breadth
-//! first, so that a broken invariant comes with its shortest sequence of steps.
+//! The state space is small: one upstream with two incarnations, its local node, one other node, and two versions of the
+//! configuration. The nodes run their own code: [`LocalUpstream`] and [`Directory`]. All reachable states are explored breadth
+//! first, so a violated invariant is reported with its shortest sequence of steps.
 
 use camphorturn::{
     coordination::local_upstream::{Announcement, LocalUpstream},
@@ -17,77 +17,77 @@
 use pathfinding::prelude::bfs;
 use std::time::Duration;
 
-/// Most announcements that are under way at once, and most in all.
-const UNDER_WAY: usize = 2;
-const ANNOUNCEMENTS: u8 = 5;
-/// Most restarts of the node beside the upstream.
-const RESTARTS: u8 = 2;
+/// Maximum number of announcements in transit at once, and in total.
+const MAX_IN_TRANSIT: usize = 2;
+const MAX_ANNOUNCEMENTS: u8 = 5;
+/// Maximum number of restarts of the local node.
+const MAX_RESTARTS: u8 = 2;
 
-/// What is under way from the upstream to its node.
+/// Announcement in transit from the upstream to its local node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-struct Beat {
-    run: u8,
+struct AnnouncementMessage {
+    incarnation: u8,
     sequence: u8,
     leaving: bool,
 }
 
-/// A rule taken out, to show that the model finds what it prevents.
+/// Rule that is left out, to show that the model finds the violation that the rule prevents.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Without {
     Nothing,
-    /// A run that has left stays left.
-    LeavingStays,
-    /// A restarted node asks the upstream before it takes the store's word.
+    /// An incarnation that is leaving never serves again.
+    FinalDeparture,
+    /// A restarted node asks the upstream to confirm the stored record.
     Confirmation,
     /// An older version is ignored.
     VersionOrder,
-    /// Runs under one identity are told apart by their starts.
-    Born,
+    /// Incarnations under the same identity are distinguished by their start times.
+    StartTimes,
 }
 
-/// How the two runs of the upstream name themselves.
+/// Identities of the two incarnations of the upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-enum Naming {
-    /// Each has an identity of its own.
-    Apart,
-    /// The second starts under the identity of the first, and its sequence starts anew.
-    Again,
+enum Identities {
+    /// The incarnations have different identities.
+    Distinct,
+    /// The second incarnation uses the identity of the first, and its sequence numbers restart.
+    Reused,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct World {
-    naming: Naming,
-    /// The run of the upstream that is up, and whether it has begun to leave.
-    run: u8,
+    identities: Identities,
+    /// Current incarnation of the upstream, and whether it is leaving.
+    incarnation: u8,
     leaving: bool,
     sequence: u8,
     sent: u8,
-    beats: Vec<Beat>,
-    /// What its node took in since its start, in order.
-    taken: Vec<Beat>,
-    /// The run that its node took over from the store at its start.
-    recalled: Option<u8>,
-    /// What the store holds of the node: run and leaving.
+    in_transit: Vec<AnnouncementMessage>,
+    /// Announcements that the local node has received since its start, in order.
+    received: Vec<AnnouncementMessage>,
+    /// Incarnation that the local node restored from the store at its start.
+    restored: Option<u8>,
+    /// Stored record of the local node: incarnation and `leaving` flag.
     stored: Option<(u8, bool)>,
     restarts: u8,
-    /// Runs whose leaving was acknowledged.
+    /// Incarnations whose departure was acknowledged.
     acknowledged: Vec<u8>,
-    /// Versions in the order in which they reached the other node, and the newest published one.
+    /// Versions in the order in which they reached the other node, and the newest published version.
     versions: Vec<u8>,
     published: u8,
 }
 
 impl World {
-    fn start(naming: Naming) -> Self {
+    fn start(identities: Identities) -> Self {
         Self {
-            naming,
-            run: 1,
+            identities,
+            incarnation: 1,
             leaving: false,
             sequence: 0,
             sent: 0,
-            beats: Vec::new(),
-            taken: Vec::new(),
-            recalled: None,
+            in_transit: Vec::new(),
+            received: Vec::new(),
+            restored: None,
             stored: None,
             restarts: 0,
             acknowledged: Vec::new(),
@@ -96,41 +96,47 @@
         }
     }
 
-    /// The run that the node would send work to, by the node's own code.
+    /// Incarnation that the local node would send requests to, according to the node's own code.
     fn serving(&self, without: Without) -> Option<u8> {
-        let mut own = LocalUpstream::default();
-        if let Some(run) = self.recalled {
-            own.apply_announcement(self.announcement(run, 0, false, without));
+        let mut upstream = LocalUpstream::default();
+        if let Some(incarnation) = self.restored {
+            upstream.apply_announcement(self.announcement(incarnation, 0, false, without));
         }
-        for beat in &self.taken {
-            let forgets = without == Without::LeavingStays && !beat.leaving;
-            if forgets {
-                own = LocalUpstream::default();
+        for message in &self.received {
+            let resets = without == Without::FinalDeparture && !message.leaving;
+            if resets {
+                upstream = LocalUpstream::default();
             }
-            own.apply_announcement(self.announcement(
-                beat.run,
-                beat.sequence,
-                beat.leaving,
+            upstream.apply_announcement(self.announcement(
+                message.incarnation,
+                message.sequence,
+                message.leaving,
                 without,
             ));
         }
-        let serving = own.serving()?;
-        let first = match self.naming {
-            Naming::Apart => serving.identity.instance == "1",
-            Naming::Again => serving.identity.started_ms != Some(2),
+        let serving = upstream.serving()?;
+        let is_first = match self.identities {
+            Identities::Distinct => serving.identity.instance == "1",
+            Identities::Reused => serving.identity.started_ms != Some(2),
         };
-        Some(if first { 1 } else { 2 })
+        Some(if is_first { 1 } else { 2 })
     }
 
-    fn announcement(&self, run: u8, sequence: u8, leaving: bool, without: Without) -> Announcement {
-        let instance = match self.naming {
-            Naming::Apart => run.to_string(),
-            Naming::Again => "1".to_owned(),
+    fn announcement(
+        &self,
+        incarnation: u8,
+        sequence: u8,
+        leaving: bool,
+        without: Without,
+    ) -> Announcement {
+        let instance = match self.identities {
+            Identities::Distinct => incarnation.to_string(),
+            Identities::Reused => "1".to_owned(),
         };
         Announcement {
             incarnation: IncarnationId {
                 instance,
-                started_ms: (without != Without::Born).then_some(u64::from(run)),
+                started_ms: (without != Without::StartTimes).then_some(u64::from(incarnation)),
             },
             service: "desk".into(),
             slots: 6,
@@ -140,25 +146,29 @@
         }
     }
 
-    /// The second run has told its node that it works, nothing says that it leaves, and it gets no work. Where identities
-    /// differ, the node asks the upstream which one it is; that question is not part of the model.
-    fn loses_second_run(&self, without: Without) -> bool {
-        if self.naming == Naming::Apart {
+    /// Violation: the second incarnation has announced that it serves and not that it is leaving, but gets no requests. If the
+    /// identities differ, the node asks the upstream for its identity; that request is not part of the model.
+    fn loses_second_incarnation(&self, without: Without) -> bool {
+        if self.identities == Identities::Distinct {
             return false;
         }
-        let told = |leaving: bool| {
-            let mut beats = self.taken.iter();
-            beats.any(|beat| beat.run == 2 && beat.leaving == leaving)
+        let has_announced = |leaving: bool| {
+            let mut received = self.received.iter();
+            received.any(|message| message.incarnation == 2 && message.leaving == leaving)
         };
-        told(false) && !told(true) && self.serving(without) != Some(2)
+        has_announced(false) && !has_announced(true) && self.serving(without) != Some(2)
     }
 
-    /// Work that is sent to another run than the one that is up gets 421 and does no harm.
-    fn breaks_leaving(&self, without: Without) -> bool {
+    /// Violation: requests are sent to the current incarnation after its departure was acknowledged. Requests for another
+    /// incarnation are rejected with status 421 and do no harm.
+    fn breaks_departure(&self, without: Without) -> bool {
         let serving = self.serving(without);
-        serving.is_some_and(|run| run == self.run && self.acknowledged.contains(&run))
+        serving.is_some_and(|incarnation| {
+            incarnation == self.incarnation && self.acknowledged.contains(&incarnation)
+        })
     }
 
+    /// Violation: the version in force at the other node decreases.
     fn breaks_version(&self, without: Without) -> bool {
         let mut directory = Directory::default();
         let mut highest = 0;
@@ -178,19 +188,19 @@
     fn steps(&self, without: Without) -> Vec<Self> {
         let mut next = Vec::new();
         self.step_upstream(&mut next);
-        self.step_beats(&mut next);
+        self.step_messages(&mut next);
         self.step_restart(without, &mut next);
         self.step_versions(&mut next);
         next
     }
 
     fn step_upstream(&self, next: &mut Vec<Self>) {
-        if self.beats.len() < UNDER_WAY && self.sent < ANNOUNCEMENTS {
+        if self.in_transit.len() < MAX_IN_TRANSIT && self.sent < MAX_ANNOUNCEMENTS {
             let mut world = self.clone();
             world.sequence += 1;
             world.sent += 1;
-            world.beats.push(Beat {
-                run: self.run,
+            world.in_transit.push(AnnouncementMessage {
+                incarnation: self.incarnation,
                 sequence: world.sequence,
                 leaving: self.leaving,
             });
@@ -200,50 +210,51 @@
             let mut world = self.clone();
             world.leaving = true;
             next.push(world);
-        } else if self.run == 1 {
+        } else if self.incarnation == 1 {
             let mut world = self.clone();
-            world.run = 2;
+            world.incarnation = 2;
             world.leaving = false;
             world.sequence = 0;
             next.push(world);
         }
     }
 
-    /// Any announcement under way arrives next, with and without the store taking the record.
-    fn step_beats(&self, next: &mut Vec<Self>) {
-        for index in 0..self.beats.len() {
+    /// Any announcement in transit arrives next; the resulting record may reach the store or not.
+    fn step_messages(&self, next: &mut Vec<Self>) {
+        for index in 0..self.in_transit.len() {
             let mut world = self.clone();
-            let beat = world.beats.remove(index);
-            world.taken.push(beat);
-            if beat.leaving {
-                world.acknowledged.push(beat.run);
+            let message = world.in_transit.remove(index);
+            world.received.push(message);
+            if message.leaving {
+                world.acknowledged.push(message.incarnation);
             }
             next.push(world.clone());
-            world.stored = Some((beat.run, beat.leaving));
+            world.stored = Some((message.incarnation, message.leaving));
             next.push(world);
         }
     }
 
-    /// The node forgets all and begins with what the store holds of it.
+    /// The local node restarts without its state and restores its stored record.
     fn step_restart(&self, without: Without, next: &mut Vec<Self>) {
-        if self.restarts == RESTARTS {
+        if self.restarts == MAX_RESTARTS {
             return;
         }
         let mut world = self.clone();
         world.restarts += 1;
-        world.taken.clear();
-        // Announcements from before a start are lost with the connections of the former process.
-        world.beats.clear();
-        let confirmed =
-            |run: u8| without == Without::Confirmation || (run == self.run && !self.leaving);
-        world.recalled = match self.stored {
-            Some((run, false)) if confirmed(run) => Some(run),
+        world.received.clear();
+        // Announcements from before the restart are lost with the connections of the earlier process.
+        world.in_transit.clear();
+        let confirmed = |incarnation: u8| {
+            without == Without::Confirmation || (incarnation == self.incarnation && !self.leaving)
+        };
+        world.restored = match self.stored {
+            Some((incarnation, false)) if confirmed(incarnation) => Some(incarnation),
             _ => None,
         };
         next.push(world);
     }
 
-    /// Versions reach the other node by the store or by nodes, in any order.
+    /// Versions reach the other node through the store or other nodes, in any order.
     fn step_versions(&self, next: &mut Vec<Self>) {
         if self.versions.len() < 3 {
             for version in 1..=self.published {
@@ -269,55 +280,55 @@
     }
 }
 
-/// The shortest way to a state that breaks an invariant.
-fn find_violation(naming: Naming, without: Without) -> Option<Vec<World>> {
+/// Shortest sequence of states to one that violates an invariant.
+fn find_violation(identities: Identities, without: Without) -> Option<Vec<World>> {
     bfs(
-        &World::start(naming),
+        &World::start(identities),
         |world| world.steps(without),
         |world| {
-            world.breaks_leaving(without)
+            world.breaks_departure(without)
                 || world.breaks_version(without)
-                || world.loses_second_run(without)
+                || world.loses_second_incarnation(without)
         },
     )
 }
 
 #[test]
 fn explore_no_violation() {
-    let found = find_violation(Naming::Apart, Without::Nothing);
+    let found = find_violation(Identities::Distinct, Without::Nothing);
     assert!(found.is_none(), "{:#?}", found.unwrap_or_default());
 }
 
 #[test]
-fn explore_same_identity() {
-    let found = find_violation(Naming::Again, Without::Nothing);
+fn explore_reused_identity() {
+    let found = find_violation(Identities::Reused, Without::Nothing);
     assert!(found.is_none(), "{:#?}", found.unwrap_or_default());
 }
 
-/// Symptom: an upstream that starts again under its identity never gets work. Cause: its announcements count as late ones
-/// of the run before.
+/// Failure: an upstream that restarts under the same identity gets no requests, because its announcements count as delayed ones of
+/// the previous incarnation.
 #[test]
-fn explore_without_born() {
-    assert!(find_violation(Naming::Again, Without::Born).is_some());
+fn explore_without_start_times() {
+    assert!(find_violation(Identities::Reused, Without::StartTimes).is_some());
 }
 
-/// Symptom: work goes to an upstream whose leaving was acknowledged. Sequence: an announcement from
-/// before arrives after the leaving. Cause: the last that arrives counts.
+/// Failure: requests are sent to an upstream whose departure was acknowledged, because an earlier announcement arrives after the
+/// departure and the last arrival counts.
 #[test]
-fn explore_without_leaving_stays() {
-    assert!(find_violation(Naming::Apart, Without::LeavingStays).is_some());
+fn explore_without_final_departure() {
+    assert!(find_violation(Identities::Distinct, Without::FinalDeparture).is_some());
 }
 
-/// Symptom: the same after a restart. Sequence: the leaving was acknowledged while the store was away,
-/// the node is restarted and finds the record from before. Cause: the record is taken at its word.
+/// Failure: requests are sent to an upstream whose departure was acknowledged while the store was unavailable. The local node
+/// restarts and uses the older stored record without asking the upstream.
 #[test]
 fn explore_without_confirmation() {
-    assert!(find_violation(Naming::Apart, Without::Confirmation).is_some());
+    assert!(find_violation(Identities::Distinct, Without::Confirmation).is_some());
 }
 
-/// Symptom: a node goes back to an older configuration. Sequence: a newer version reaches it by another
-/// node, then the older one by the store. Cause: the last that arrives counts.
+/// Failure: a node returns to an older configuration. A newer version reaches it through another node and then the older one
+/// through the store, and the last arrival counts.
 #[test]
 fn explore_without_version_order() {
-    assert!(find_violation(Naming::Apart, Without::VersionOrder).is_some());
+    assert!(find_violation(Identities::Distinct, Without::VersionOrder).is_some());
 }
