--- a/src/state/ablation.rs
+++ b/src/state/ablation.rs
@@ -1,46 +1,46 @@
-//! Switches that take one mechanism out of a node, to measure what it is worth.
+//! Switches that disable one mechanism of a node, to compare the load balancer with and without it.
 //!
-//! They are no settings: without the feature `ablation`, which no shipped build has, each is a constant and compiles to
-//! nothing. With it the variable `CAMPHORTURN_WITHOUT` names what is taken out. `docs/design/decisions-under-load.md`
-//! tells how it is used.
+//! They aren't settings: without the feature `ablation`, which no shipped build has, each switch is a constant and compiles
+//! to nothing. With the feature, the environment variable `CAMPHORTURN_WITHOUT` names the mechanism to disable.
+//! `docs/design/decisions-under-load.md` describes how it is used.
 
-/// A mechanism that can be taken out.
+/// A mechanism that can be disabled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mechanism {
-    /// The upstream is asked for the pace of its VM before a start.
+    /// Asks the upstream how much its VM is slowed down before a request is started there.
     SlowdownProbes,
-    /// A node whose upstream fails more requests than others is asked later.
+    /// Ranks a node lower if its upstream fails more requests than others.
     FailurePenalty,
-    /// A node that says nothing is asked later.
+    /// Ranks a node lower while it leaves requests unanswered.
     SilencePenalty,
-    /// A node that could not be reached, or takes no work, isn't asked for a while.
+    /// Sends nothing to a node for a while after it could not be reached or refused work.
     NodeBackoff,
-    /// A refused client is told to come back once the queue is over, instead of after the least time.
+    /// Sets `Retry-After` of a refusal to the time when the queue will have been worked off, instead of to the minimum.
     RetryAfterEstimate,
-    /// What must run once goes out on a connection that was used a moment ago, or on a new one.
+    /// Sends a request that must not run twice on a recently used or a new connection only.
     FreshConnections,
-    /// A request is sent to a second upstream after the first failed.
+    /// Sends a request to a second upstream after the first one failed.
     Retries,
-    /// A late idempotent request is sent to a second upstream beside the first.
+    /// Sends a late idempotent request to a second upstream while the first is still working on it.
     Hedging,
-    /// Requests wait by their priority.
+    /// Orders waiting requests by their priority.
     Priorities,
-    /// Nodes of other zones are asked for a slot.
+    /// Asks nodes of other availability zones for a slot.
     CrossZoneRequests,
-    /// The own zone is preferred while it answers soon enough.
+    /// Prefers nodes of the own availability zone while they answer soon enough.
     LocalZonePreference,
-    /// What a node told with a refusal is its answer for a while.
+    /// Reuses the completion time that a node reported with a refusal for a while, instead of asking the node again.
     ReportedRefusals,
-    /// The upstream gets fewer requests than it has slots.
+    /// Lets fewer requests run at the upstream than it has slots.
     SlotLimit,
-    /// Two nodes of a zone read the store for the others.
+    /// Has two nodes of an availability zone read the store on behalf of the others.
     StoreReaders,
-    /// A request that crashes upstreams is kept from all of them.
+    /// Keeps a request that crashes upstreams away from all of them.
     Quarantine,
 }
 
 impl Mechanism {
-    /// The word that takes it out.
+    /// The value of `CAMPHORTURN_WITHOUT` that disables the mechanism.
     #[must_use]
     pub const fn name(self) -> &'static str {
         match self {
@@ -62,14 +62,14 @@
         }
     }
 
-    /// Whether it is taken out of this process.
+    /// Whether the mechanism is disabled in this process.
     #[cfg(not(feature = "ablation"))]
     #[must_use]
     pub const fn is_disabled(self) -> bool {
         false
     }
 
-    /// Whether it is taken out of this process.
+    /// Whether the mechanism is disabled in this process.
     #[cfg(feature = "ablation")]
     #[must_use]
     pub fn is_disabled(self) -> bool {
--- a/src/state/answered_requests.rs
+++ b/src/state/answered_requests.rs
@@ -1,45 +1,46 @@
-//! Requests that the present run of an upstream has answered.
+//! Requests that the current incarnation of an upstream has answered.
 //!
-//! What a run has answered does not crash it, so a request that is often asked for is no suspect only because some of its kind
-//! are always there when an upstream crashes. Another run may be of other software and starts anew.
+//! A request that an incarnation has answered does not crash it. Without this check, a frequent request would count as the
+//! cause of crashes only because some copies of it are running at every crash. The next incarnation may run other software,
+//! so its list starts empty.
 
 use crate::state::{incarnation_id::IncarnationId, request_fingerprint::RequestFingerprint};
 use std::collections::{BTreeSet, VecDeque};
 
-/// Requests that are remembered, the latest.
-const REMEMBERED: usize = 1_024;
+/// Number of requests that are kept; the latest ones are.
+const MAX_REQUESTS: usize = 1_024;
 
-/// The last requests that one run has answered.
+/// The latest requests that one incarnation has answered.
 #[derive(Clone, Debug, Default)]
 pub struct AnsweredRequests {
-    run: Option<IncarnationId>,
-    order: VecDeque<RequestFingerprint>,
+    incarnation: Option<IncarnationId>,
+    by_age: VecDeque<RequestFingerprint>,
     known: BTreeSet<RequestFingerprint>,
 }
 
 impl AnsweredRequests {
-    /// Takes in that a run has answered a request.
-    pub fn insert(&mut self, run: &IncarnationId, digest: RequestFingerprint) {
-        if self.run.as_ref() != Some(run) {
+    /// Records that an incarnation has answered a request. A new incarnation discards the requests of the one before.
+    pub fn insert(&mut self, incarnation: &IncarnationId, fingerprint: RequestFingerprint) {
+        if self.incarnation.as_ref() != Some(incarnation) {
             *self = Self {
-                run: Some(run.clone()),
+                incarnation: Some(incarnation.clone()),
                 ..Self::default()
             };
         }
-        if !self.known.insert(digest) {
+        if !self.known.insert(fingerprint) {
             return;
         }
-        self.order.push_back(digest);
-        if self.order.len() > REMEMBERED
-            && let Some(oldest) = self.order.pop_front()
+        self.by_age.push_back(fingerprint);
+        if self.by_age.len() > MAX_REQUESTS
+            && let Some(oldest) = self.by_age.pop_front()
         {
             self.known.remove(&oldest);
         }
     }
 
-    /// Whether a run is known to have answered a request.
+    /// Whether an incarnation is known to have answered a request.
     #[must_use]
-    pub fn contains(&self, run: &IncarnationId, digest: RequestFingerprint) -> bool {
-        self.run.as_ref() == Some(run) && self.known.contains(&digest)
+    pub fn contains(&self, incarnation: &IncarnationId, fingerprint: RequestFingerprint) -> bool {
+        self.incarnation.as_ref() == Some(incarnation) && self.known.contains(&fingerprint)
     }
 }
--- a/src/state/class_bytes.rs
+++ b/src/state/class_bytes.rs
@@ -1,25 +1,25 @@
-//! How many bytes the requests of each class usually need.
+//! Average size of the requests of each class of work, including their responses.
 
 use crate::state::names::ClassName;
 use std::collections::HashMap;
 
-/// Bytes that a class is taken to need before any were seen.
-const FIRST_BYTES: f64 = 1_500.0;
-/// Weight of the newest in the moving average.
+/// Assumed size of a request and its response before the first request of a class has ended.
+const INITIAL_BYTES: f64 = 1_500.0;
+/// Weight of the latest size in the exponential moving average.
 const WEIGHT: f64 = 0.1;
 
-/// Moving averages of the bytes of a request and its answer, without heads, by class.
+/// By class: exponential moving average of the body bytes of a request and its response, without headers.
 #[derive(Clone, Debug, Default)]
 pub struct ClassBytes(HashMap<ClassName, f64>);
 
 impl ClassBytes {
-    /// Usual bytes of a request of a class with its answer.
+    /// Average bytes of a request of a class and its response.
     #[must_use]
     pub fn average_bytes(&self, class: &ClassName) -> f64 {
-        self.0.get(class).copied().unwrap_or(FIRST_BYTES)
+        self.0.get(class).copied().unwrap_or(INITIAL_BYTES)
     }
 
-    /// Learns the bytes of a request and its answer.
+    /// Updates the average with the bytes of a request and its response.
     pub fn observe(&mut self, class: &ClassName, bytes: usize) {
         #[expect(clippy::cast_precision_loss, reason = "far below 2^52")]
         let bytes = bytes as f64;
--- a/src/state/class_counts.rs
+++ b/src/state/class_counts.rs
@@ -1,27 +1,27 @@
-//! What became of the requests of one class at the node that took them.
+//! Outcomes of the requests of one class of work, counted at the node that received them from clients.
 
 use crate::state::latency_histogram::LatencyHistogram;
 use std::time::Duration;
 
-/// Counts since the start.
+/// Counts since the node started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ClassCounts {
     /// Requests that ended.
     pub requests: u64,
-    /// Of these, answered by an upstream.
+    /// Of these, requests answered by an upstream.
     pub answered: u64,
-    /// Of these, answered within the target.
+    /// Of the answered ones, requests answered within the target time of the class.
     pub on_target: u64,
-    /// Refused without having run.
+    /// Requests refused without having run at an upstream.
     pub refused: u64,
-    /// Ended without it being known whether they ran.
+    /// Requests that ended without it being known whether they ran.
     pub unknown: u64,
-    /// Times of the answered ones.
+    /// Latencies of the answered requests.
     pub latency: LatencyHistogram,
 }
 
 impl ClassCounts {
-    /// Counts an answer.
+    /// Counts a request that was answered after `took`; `target` is the target time of its class.
     pub fn count_answer(&mut self, took: Duration, target: Duration) {
         self.requests += 1;
         self.answered += 1;
@@ -29,13 +29,13 @@
         self.latency.observe(took);
     }
 
-    /// Counts a refusal.
+    /// Counts a refused request.
     pub fn count_refusal(&mut self) {
         self.requests += 1;
         self.refused += 1;
     }
 
-    /// Counts an end that is not known.
+    /// Counts a request of which it is not known whether it ran.
     pub fn count_unknown(&mut self) {
         self.requests += 1;
         self.unknown += 1;
--- a/src/state/crash_counts.rs
+++ b/src/state/crash_counts.rs
@@ -1,8 +1,8 @@
-//! Counts the runs of upstreams that crashed while they ran a request.
+//! Counts the upstream incarnations that crashed while they were running a request, to find requests that cause crashes.
 //!
-//! A crash cuts all requests that the upstream runs, and nothing tells which of them it was. A request that crashes each
-//! upstream that runs it is at every one of these crashes and is never answered; any other one is answered elsewhere or
-//! isn't there the next time.
+//! A crash aborts all requests running at the upstream, and nothing shows which of them caused it. A request that crashes
+//! every upstream is running at each of these crashes and is never answered. Any other request is answered by another
+//! upstream, or isn't running at the next crash.
 
 use crate::state::{
     incarnation_id::IncarnationId, request_fingerprint::RequestFingerprint, timestamp::Timestamp,
@@ -12,56 +12,60 @@
     time::Duration,
 };
 
-/// Crashed runs from which on a request counts as what crashes them.
+/// Number of crashed incarnations from which on a request counts as the cause and is quarantined.
 pub const QUARANTINE_CRASH_THRESHOLD: usize = 3;
-/// Time for which a crash is remembered after the last one under the same request.
-const REMEMBERED: Duration = Duration::from_mins(30);
-/// Requests of which crashes are remembered, those with the latest. Without a bound a service whose upstreams crash again and
-/// again, whatever they run, would fill the memory.
-const MAX_SUSPECTS: usize = 4_096;
+/// How long the crashes of a request are kept after the latest one.
+const CRASH_RETENTION: Duration = Duration::from_mins(30);
+/// Maximum number of requests with kept crashes; those with the latest crashes are kept. Without this limit, a service whose
+/// upstreams keep crashing whatever they run would exhaust the memory.
+const MAX_REQUESTS: usize = 4_096;
 
 #[derive(Clone, Debug, Default)]
-struct Suspect {
-    /// Each run once, however often and by whomever its crash is told.
-    runs: BTreeSet<IncarnationId>,
-    last: Timestamp,
+struct RequestCrashes {
+    /// Crashed incarnations, each once however many nodes report its crash.
+    incarnations: BTreeSet<IncarnationId>,
+    latest: Timestamp,
 }
 
-/// Requests that were at upstreams when these crashed, and were not answered since.
+/// Crashes of the requests that were running at crashed upstreams and have not been answered since.
 #[derive(Clone, Debug, Default)]
 pub struct CrashCounts {
-    suspects: BTreeMap<RequestFingerprint, Suspect>,
+    requests: BTreeMap<RequestFingerprint, RequestCrashes>,
 }
 
 impl CrashCounts {
-    /// Takes in that a run crashed while it ran a request; returns the crashed runs of that request so far.
+    /// Records that an incarnation crashed while it was running a request; returns the number of incarnations that have crashed so
+    /// far with this request.
     pub fn record_crash(
         &mut self,
-        digest: RequestFingerprint,
-        run: IncarnationId,
+        fingerprint: RequestFingerprint,
+        incarnation: IncarnationId,
         now: Timestamp,
     ) -> usize {
-        self.suspects
-            .retain(|_, suspect| now.since(suspect.last) <= REMEMBERED);
-        let suspect = self.suspects.entry(digest).or_default();
-        suspect.runs.insert(run);
-        suspect.last = now;
-        let crashes = suspect.runs.len();
-        if self.suspects.len() > MAX_SUSPECTS {
-            self.forget_oldest();
+        self.requests
+            .retain(|_, crashes| now.since(crashes.latest) <= CRASH_RETENTION);
+        let crashes = self.requests.entry(fingerprint).or_default();
+        crashes.incarnations.insert(incarnation);
+        crashes.latest = now;
+        let count = crashes.incarnations.len();
+        if self.requests.len() > MAX_REQUESTS {
+            self.remove_oldest();
         }
-        crashes
+        count
     }
 
-    /// Takes in that an upstream has answered a request.
-    pub fn record_answer(&mut self, digest: RequestFingerprint) {
-        self.suspects.remove(&digest);
+    /// Records that an upstream has answered a request, which clears the crashes of the request.
+    pub fn record_answer(&mut self, fingerprint: RequestFingerprint) {
+        self.requests.remove(&fingerprint);
     }
 
-    fn forget_oldest(&mut self) {
-        let oldest = self.suspects.iter().min_by_key(|(_, suspect)| suspect.last);
-        if let Some(digest) = oldest.map(|(digest, _)| *digest) {
-            self.suspects.remove(&digest);
+    fn remove_oldest(&mut self) {
+        let oldest = self
+            .requests
+            .iter()
+            .min_by_key(|(_, crashes)| crashes.latest);
+        if let Some(fingerprint) = oldest.map(|(fingerprint, _)| *fingerprint) {
+            self.requests.remove(&fingerprint);
         }
     }
 }
--- a/src/state/failure_rate.rs
+++ b/src/state/failure_rate.rs
@@ -1,20 +1,20 @@
-//! Share of an upstream's last requests that failed there.
+//! Share of an upstream's recent requests that failed.
 
-/// Weight of the newest end in the moving average: some ten ends tell.
+/// Weight of the latest outcome in the exponential moving average, so that about the last 10 outcomes count.
 const WEIGHT: f64 = 0.1;
 
-/// A moving average, from 0 to 1.
+/// Exponential moving average of failures, from 0 (none failed) to 1 (all failed).
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct FailureRate(f64);
 
 impl FailureRate {
-    /// Takes in the end of a request.
+    /// Records the outcome of a request.
     pub fn observe(&mut self, failed: bool) {
         let value = f64::from(u8::from(failed));
         self.0 += (value - self.0) * WEIGHT;
     }
 
-    /// The share in percent.
+    /// The failure rate in percent, rounded.
     #[must_use]
     pub fn percent(self) -> u8 {
         #[expect(
--- a/src/state/incarnation_id.rs
+++ b/src/state/incarnation_id.rs
@@ -1,24 +1,26 @@
-//! What tells one run of an upstream from another.
+//! Identity of an incarnation: one process lifetime of an upstream, from its start to its end.
 
 use serde::{Deserialize, Serialize};
 
-/// Identity of a run. An upstream may start again under the instance that it had.
+/// Identity of an incarnation of an upstream. A restarted upstream may announce itself with the same instance name.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct IncarnationId {
-    /// What the run calls itself.
+    /// Name that the upstream announces for itself.
     pub instance: String,
-    /// When it started, in Unix milliseconds by the upstream's clock, if it tells.
+    /// When the upstream started, in milliseconds since the Unix epoch by its own clock; `None` if it doesn't announce it.
     #[serde(rename = "born", default, skip_serializing_if = "Option::is_none")]
     pub started_ms: Option<u64>,
 }
 
 impl IncarnationId {
-    /// Whether `other` is this run, or one before it under the same instance. Where one of them does not tell when it
-    /// started, they count as the same: a leaving that was acknowledged must not be undone by a guess.
+    /// Whether `other` is this incarnation or an earlier one with the same instance name.
+    ///
+    /// If the start of either is unknown, both count as the same. Otherwise an upstream whose departure was acknowledged could
+    /// get requests again because it was mistaken for a new incarnation.
     #[must_use]
     pub fn is_same_or_newer_than(&self, other: &Self) -> bool {
-        let later =
+        let other_is_later =
             matches!((self.started_ms, other.started_ms), (Some(own), Some(other)) if other > own);
-        self.instance == other.instance && !later
+        self.instance == other.instance && !other_is_later
     }
 }
--- a/src/state/known_node.rs
+++ b/src/state/known_node.rs
@@ -1,4 +1,4 @@
-//! What an entry node knows of the nodes that it may send requests to.
+//! What a node knows of another node that it may send requests to.
 
 use crate::state::{
     ablation::Mechanism,
@@ -9,85 +9,86 @@
 use serde::{Deserialize, Serialize};
 use std::{collections::HashMap, net::SocketAddr, time::Duration};
 
-/// Pause after the first failure to reach a node.
-const FIRST_PAUSE: Duration = Duration::from_millis(200);
-/// Longest pause between two tries to reach a node. Bounds how late a returned node is used.
-const LONGEST_PAUSE: Duration = Duration::from_secs(1);
+/// Backoff after the first failure to reach a node. Doubles with each further failure.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(200);
+/// Longest backoff between two attempts to reach a node. It limits how late a node that can be reached again is used.
+const MAX_BACKOFF: Duration = Duration::from_secs(1);
 
-/// Part of the time told with a refusal for which it is taken to hold: a queue behind which a request would have ended
-/// then is not gone in a quarter of that.
-const REFUSAL_HOLDS: u32 = 4;
+/// A refusal is valid for the reported completion time divided by this. A queue that delays a request by that much is not
+/// worked off in a quarter of the time.
+const REFUSAL_VALIDITY_DIVISOR: u32 = 4;
 
-/// What a node tells of itself and the upstream beside it.
+/// What a node announces about itself and its local upstream. Stored in the store as JSON.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodeRecord {
     /// Name of the node.
     pub name: NodeName,
-    /// Where other nodes connect.
+    /// Address at which other nodes connect.
     pub address: SocketAddr,
-    /// Service of the upstream.
+    /// Service that the upstream belongs to.
     pub service: ServiceName,
     /// Availability zone of the VM.
     pub availability_zone: AvailabilityZoneName,
-    /// The upstream's run.
+    /// Incarnation of the upstream.
     #[serde(flatten)]
     pub incarnation: IncarnationId,
-    /// Requests that the upstream runs at once.
+    /// Number of requests that the upstream runs concurrently.
     pub slots: u16,
-    /// The upstream has said that it leaves.
+    /// Whether the upstream has announced that it is leaving.
     pub leaving: bool,
-    /// Where operators' tools reach the node, if they can.
+    /// Address for operators' tools; `None` if the node doesn't serve them.
     #[serde(rename = "operators", default, skip_serializing_if = "Option::is_none")]
     pub operator_address: Option<SocketAddr>,
 }
 
-/// A record with its place in the order in which the store took the records.
+/// A node record with its place in the order of the records in the store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredRecord {
-    /// Rises with each record of the store; 0 for one that the store does not have yet.
+    /// Rises with each record of the store; 0 for a record that is not in the store yet.
     pub revision: u64,
     /// The record.
     pub record: NodeRecord,
 }
 
-/// Load of an upstream as told by the node beside it.
+/// Load of an upstream, as reported by its node.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct NodeLoad {
-    /// Requests at the upstream.
+    /// Number of requests running at the upstream.
     pub running: u16,
-    /// Requests that wait at the node.
+    /// Number of requests waiting at the node.
     pub queued: u16,
-    /// Requests that the node lets run at once.
+    /// Number of requests that the node lets run concurrently.
     pub limit: u16,
-    /// How long work takes at this moment, in percent of the usual.
+    /// How long work takes at present, in percent of the usual time.
     pub slowdown_percent: u16,
-    /// Share of the last requests that failed at the upstream, in percent.
+    /// Share of recent requests that failed at the upstream, in percent.
     pub failed_percent: u8,
 }
 
-/// What is known of one node.
+/// What is known of one other node.
 #[derive(Clone, Debug)]
 pub struct KnownNode {
-    /// What it told of itself.
+    /// The latest record of the node.
     pub record: NodeRecord,
-    /// Place of that in the order of the store.
+    /// Place of the record in the order of the store; see [`StoredRecord::revision`].
     pub revision: u64,
-    /// Own requests that are out there.
+    /// Number of requests of this node that wait for the answer of that node.
     pub outstanding: u16,
-    /// The last load told, own requests included, and when.
+    /// Load that the node reported last, including requests of this node, and when it arrived.
     pub load: Option<(NodeLoad, Timestamp)>,
-    /// Not used before; set when the node could not be reached or refused for longer.
+    /// No request is sent to the node before this time. Set after the node could not be reached, or refused for a reason that
+    /// applies to all requests.
     pub backoff_until: Timestamp,
-    /// Failures to reach it in a row.
+    /// Number of consecutive failures to reach the node.
     pub consecutive_failures: u32,
-    /// When the oldest request was sent there since which nothing was heard of it; none if nothing is awaited.
+    /// Since when the node has left requests unanswered; `None` if no answer is expected.
     pub silent_since: Option<Timestamp>,
-    /// When the node last had no slot for a class, and in which time a request would have ended there.
+    /// By class: when the node last refused a request, and the completion time that it reported with the refusal.
     refusals: HashMap<ClassName, (Timestamp, Duration)>,
 }
 
 impl KnownNode {
-    /// Nothing known but the record.
+    /// A node of which nothing but its record is known.
     #[must_use]
     pub fn new(stored: StoredRecord) -> Self {
         Self {
@@ -102,23 +103,23 @@
         }
     }
 
-    /// Notes that the node had no slot at once for a request of a class, which would have ended there in `finish`.
+    /// Records that the node had no free slot for a request of a class, and reported that the request would finish in `finish`.
     pub fn record_refusal(&mut self, class: &ClassName, finish: Duration, now: Timestamp) {
         self.refusals.insert(class.clone(), (now, finish));
     }
 
-    /// Time in which a request of a class would end there, if it is known from a refusal that still holds.
+    /// Time until a request of a class would finish at the node, from a refusal that is still valid; `None` without one.
     #[must_use]
     pub fn reported_finish(&self, class: &ClassName, now: Timestamp) -> Option<Duration> {
         if Mechanism::ReportedRefusals.is_disabled() {
             return None;
         }
-        let (told_at, finish) = *self.refusals.get(class)?;
-        let age = now.since(told_at);
-        (age <= finish / REFUSAL_HOLDS).then(|| finish.saturating_sub(age))
+        let (reported_at, finish) = *self.refusals.get(class)?;
+        let age = now.since(reported_at);
+        (age <= finish / REFUSAL_VALIDITY_DIVISOR).then(|| finish.saturating_sub(age))
     }
 
-    /// Notes that a request is sent there.
+    /// Records that a request was sent to the node.
     pub fn record_sent_request(&mut self, now: Timestamp) {
         self.outstanding += 1;
         if self.silent_since.is_none() {
@@ -126,7 +127,7 @@
         }
     }
 
-    /// Notes that a request is no longer awaited.
+    /// Records that the answer to a request has arrived or is no longer expected.
     pub fn record_ended_request(&mut self) {
         self.outstanding = self.outstanding.saturating_sub(1);
         if self.outstanding == 0 {
@@ -134,29 +135,29 @@
         }
     }
 
-    /// How long something has been awaited without any word.
+    /// How long the node has left requests unanswered; zero if no answer is expected.
     #[must_use]
     pub fn silence(&self, now: Timestamp) -> Duration {
         self.silent_since
             .map_or(Duration::ZERO, |since| now.since(since))
     }
 
-    /// Notes that the node could not be reached; returns the pause until the next try.
+    /// Records that the node could not be reached; returns the backoff until the next attempt.
     pub fn record_unreachable(&mut self, now: Timestamp) -> Duration {
-        let doubled = FIRST_PAUSE * 2_u32.saturating_pow(self.consecutive_failures.min(8));
+        let doubled = INITIAL_BACKOFF * 2_u32.saturating_pow(self.consecutive_failures.min(8));
         self.consecutive_failures += 1;
-        let pause = doubled.min(LONGEST_PAUSE);
-        self.backoff_until = now + pause;
-        pause
+        let backoff = doubled.min(MAX_BACKOFF);
+        self.backoff_until = now + backoff;
+        backoff
     }
 
-    /// Notes that the node answered.
+    /// Records that the node sent an answer.
     pub fn record_response(&mut self, now: Timestamp) {
         self.reset_backoff();
         self.silent_since = (self.outstanding > 1).then_some(now);
     }
 
-    /// Forgets that it could not be reached.
+    /// Clears failures and backoff once the node was reached.
     pub fn reset_backoff(&mut self) {
         self.consecutive_failures = 0;
         self.backoff_until = Timestamp::default();
--- a/src/state/latency_histogram.rs
+++ b/src/state/latency_histogram.rs
@@ -1,12 +1,12 @@
-//! Counts of times by upper bounds, for a metrics page.
+//! Histogram of latencies with fixed buckets, for the metrics page.
 
 use std::time::Duration;
 
-/// Upper bounds in milliseconds; some four for each factor of ten, as targets lie between 80 ms and a
-/// second.
+/// Upper bounds of the buckets in milliseconds, about 4 for each factor of 10 and closer together between 80 ms and 1 s, where
+/// the target times lie.
 pub const UPPER_BOUNDS_MS: [u64; 12] = [5, 10, 20, 50, 80, 120, 200, 300, 500, 1_000, 2_000, 5_000];
 
-/// Counts by bound; each counts all times up to it.
+/// A histogram. Each count is cumulative: it includes all latencies up to the upper bound of its bucket.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LatencyHistogram {
     cumulative: [u64; UPPER_BOUNDS_MS.len()],
@@ -15,7 +15,7 @@
 }
 
 impl LatencyHistogram {
-    /// Counts a time.
+    /// Counts a latency.
     pub fn observe(&mut self, took: Duration) {
         self.count += 1;
         self.sum = self.sum.saturating_add(took);
@@ -26,31 +26,32 @@
         }
     }
 
-    /// Bounds with their counts.
+    /// Upper bounds in milliseconds, each with the number of latencies up to it.
     pub fn list_cumulative(&self) -> impl Iterator<Item = (u64, u64)> {
         UPPER_BOUNDS_MS.into_iter().zip(self.cumulative)
     }
 
-    /// Sum of all times in seconds.
+    /// Sum of all latencies in seconds.
     #[must_use]
     pub fn sum_seconds(&self) -> f64 {
         self.sum.as_secs_f64()
     }
 
-    /// Bounds in seconds with the times that lie above the bound before; the last bound is infinite.
+    /// Upper bounds in seconds, each with the number of latencies in its bucket alone. The last bucket has no upper limit; its
+    /// bound is [`f64::MAX`].
     #[must_use]
     pub fn list_separate(&self) -> Vec<(f64, u64)> {
         let mut below = 0;
-        let mut apart = Vec::new();
+        let mut buckets = Vec::new();
         for (bound, count) in self.list_cumulative() {
-            apart.push((Duration::from_millis(bound).as_secs_f64(), count - below));
+            buckets.push((Duration::from_millis(bound).as_secs_f64(), count - below));
             below = count;
         }
-        apart.push((f64::MAX, self.count - below));
-        apart
+        buckets.push((f64::MAX, self.count - below));
+        buckets
     }
 
-    /// Adds the counts of another.
+    /// Adds the counts of another histogram.
     pub fn add(&mut self, other: &Self) {
         self.count += other.count;
         self.sum = self.sum.saturating_add(other.sum);
@@ -59,8 +60,8 @@
         }
     }
 
-    /// The least bound that this share of the times lies within, in milliseconds; none if they lie above
-    /// the last one, or if there are none.
+    /// The lowest upper bound, in milliseconds, within which at least this share (0 to 1) of the latencies lies. `None` if there
+    /// are no latencies, or if the last bound doesn't reach the share.
     #[must_use]
     pub fn quantile_upper_bound(&self, share: f64) -> Option<u64> {
         #[expect(clippy::cast_precision_loss, reason = "counts stay below 2^52")]
@@ -75,7 +76,7 @@
             .map(|(bound, _)| bound)
     }
 
-    /// Count of all times.
+    /// Number of all latencies.
     #[must_use]
     pub fn count(&self) -> u64 {
         self.count
--- a/src/state/names.rs
+++ b/src/state/names.rs
@@ -1,4 +1,4 @@
-//! Names as shared immutable strings: cloning one copies a pointer.
+//! Names as shared immutable strings. Cloning a name copies a pointer.
 
 use arcstr::ArcStr;
 use serde::{Deserialize, Serialize};
@@ -27,7 +27,7 @@
 
         impl fmt::Display for $name {
             fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-                // Unlike `write_str`, this keeps to the width that a table asks for.
+                // Unlike `write_str`, `pad` applies the width that tables set in the format string.
                 f.pad(&self.0)
             }
         }
@@ -35,11 +35,11 @@
 }
 
 name_type!(
-    /// Name of a node, and so of the one upstream beside it. Unique in the mesh.
+    /// Name of a node, and of its local upstream. Unique in the mesh.
     NodeName
 );
 name_type!(
-    /// Name of a service: a group of interchangeable upstreams.
+    /// Name of a service, which is a group of interchangeable upstreams.
     ServiceName
 );
 name_type!(
@@ -60,7 +60,7 @@
     use super::NodeName;
 
     #[test]
-    fn node_name_keeps_to_column_width() {
+    fn display_node_name_applies_width() {
         let name = NodeName::from("dock-1");
         assert_eq!(
             format!("{name:<8}|{name:>8}|{name}"),
--- a/src/state/published.rs
+++ b/src/state/published.rs
@@ -1,50 +1,53 @@
-//! What the store holds of a publication: the whole configuration and who published what before.
+//! The stored record of a published configuration, with the history of earlier publications.
 
 use crate::state::configuration::{Configuration, ConfigurationVersion};
 use serde::{Deserialize, Serialize};
 use uuid::Uuid;
 
-/// Publications that a record tells of besides its own. A publisher whose answer was lost looks for its
-/// own among them; more than this many others will not have published meanwhile.
-const REMEMBERED: usize = 32;
+/// Number of earlier publications that a record lists. A publisher that got no answer looks for its own publication in this
+/// list; it is found unless more than this many others were published in the meantime.
+const MAX_EARLIER_PUBLICATIONS: usize = 32;
 
 /// One accepted publication.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PublicationEntry {
-    /// Identity that the publisher gave it.
+    /// Identifier that the publisher assigned.
     pub id: Uuid,
-    /// The version that it became.
+    /// Version of the configuration that it created.
     pub version: ConfigurationVersion,
-    /// Who published it.
+    /// Author, as given by the publisher.
     pub author: String,
-    /// Why.
+    /// Reason for the publication, as given by the publisher.
     pub note: String,
-    /// When, by the clock of the node that took it, in milliseconds since the Unix epoch.
+    /// When it was published, in milliseconds since the Unix epoch by the clock of the node that accepted it.
     pub published_ms: u64,
-    /// What it changed, one line each.
+    /// Changes to the configuration before it, one line for each.
     pub changes: Vec<String>,
 }
 
-/// The newest record of the configuration.
+/// The record of the latest publication.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PublishedRecord {
-    /// How it came about.
+    /// The latest publication.
     pub entry: PublicationEntry,
-    /// The whole content.
+    /// The complete configuration.
     pub configuration: Configuration,
-    /// Publications before it, the newest first.
+    /// Earlier publications, latest first.
     pub earlier: Vec<PublicationEntry>,
 }
 
 impl PublishedRecord {
-    /// All publications that are remembered, the newest first.
+    /// All listed publications, latest first.
     pub fn entries(&self) -> impl Iterator<Item = &PublicationEntry> {
         std::iter::once(&self.entry).chain(&self.earlier)
     }
 
-    /// The publications that the next record is to remember.
+    /// The list of earlier publications for the next record.
     #[must_use]
     pub fn list_earlier_for_next(&self) -> Vec<PublicationEntry> {
-        self.entries().take(REMEMBERED).cloned().collect()
+        self.entries()
+            .take(MAX_EARLIER_PUBLICATIONS)
+            .cloned()
+            .collect()
     }
 }
--- a/src/state/request_fingerprint.rs
+++ b/src/state/request_fingerprint.rs
@@ -1,33 +1,33 @@
-//! What tells whether two requests ask for the same thing, whoever sent them and whatever identity they bear.
+//! Fingerprint by which requests with the same content are recognised, whoever sent them and whatever their request ids.
 
 use serde::{Deserialize, Deserializer, Serialize, Serializer, de::Error};
 use sha2::{Digest, Sha256};
 use std::{fmt, str::FromStr};
 
-/// First 64 bits of the SHA-256 of a request's method, host, target and body. Headers are left out: they differ from
-/// attempt to attempt and from node to node.
+/// First 64 bits of the SHA-256 hash of a request's method, host, target and body. Headers are left out since they differ
+/// between attempts and between nodes. Written as 16 hexadecimal digits.
 ///
-/// A cryptographic hash, so that nobody can make up a request which counts as somebody else's.
+/// The hash is cryptographic so that nobody can craft a request with the fingerprint of another client's request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestFingerprint(u64);
 
 impl RequestFingerprint {
-    /// The digest of a request.
+    /// Computes the fingerprint of a request.
     #[must_use]
     pub fn compute(method: &str, host: &str, target: &str, body: &[u8]) -> Self {
         let mut hasher = Sha256::new();
         for part in [method.as_bytes(), host.as_bytes(), target.as_bytes()] {
             hasher.update(part);
-            // Stands in none of the parts, so that their bounds count.
+            // A separator that occurs in none of these parts: text moved from one part to the next changes the hash.
             hasher.update(b"\n");
         }
         hasher.update(body);
-        let digest = hasher.finalize();
-        let first = digest.iter().take(size_of::<u64>());
+        let hash = hasher.finalize();
+        let first = hash.iter().take(size_of::<u64>());
         Self(first.fold(0, |bits, byte| (bits << u8::BITS) | u64::from(*byte)))
     }
 
-    /// Its bits.
+    /// The fingerprint as a number.
     #[must_use]
     pub const fn bits(self) -> u64 {
         self.0
--- a/src/state/service_times.rs
+++ b/src/state/service_times.rs
@@ -1,40 +1,43 @@
-//! How long the classes of work take at one upstream, at the usual pace of its VM.
+//! How long requests of each class of work take at one upstream while its VM runs at its usual speed.
 
 use crate::state::names::ClassName;
 use std::{collections::HashMap, time::Duration};
 
-/// Time that work of a class is taken to need before any of it has ended here.
-const FIRST: Duration = Duration::from_millis(100);
-/// Weight of the newest time in the moving average.
+/// Assumed service time of a class before its first request has ended at this upstream.
+const INITIAL_TIME: Duration = Duration::from_millis(100);
+/// Weight of the latest time in the exponential moving average.
 const WEIGHT: f64 = 0.1;
-/// Weight of each of the first times, so that the guess above is soon forgotten.
+/// Weight of each of the first times. It is larger so that [`INITIAL_TIME`] soon has no influence.
 const EARLY_WEIGHT: f64 = 0.4;
-/// Times that count as first ones.
-const EARLY: u32 = 5;
+/// Number of times that get [`EARLY_WEIGHT`].
+const EARLY_COUNT: u32 = 5;
 
-/// Moving averages by class.
+/// Exponential moving averages of service times, by class.
 #[derive(Clone, Debug, Default)]
 pub struct ServiceTimes {
+    /// Average in seconds, and the number of observed times.
     classes: HashMap<ClassName, (f64, u32)>,
 }
 
 impl ServiceTimes {
-    /// Time that work of a class takes.
+    /// Expected time that a request of a class takes at the usual speed of the VM.
     #[must_use]
     pub fn expected_time(&self, class: &ClassName) -> Duration {
         self.classes
             .get(class)
-            .map_or(FIRST, |(seconds, _)| Duration::from_secs_f64(*seconds))
+            .map_or(INITIAL_TIME, |(seconds, _)| {
+                Duration::from_secs_f64(*seconds)
+            })
     }
 
-    /// Takes in that work took that long, having started at `percent` of the usual time.
-    pub fn observe(&mut self, class: &ClassName, took: Duration, percent: u16) {
-        let usual = took.as_secs_f64() * 100.0 / f64::from(percent.max(1));
+    /// Records that a request took `took`. It was started while requests took `slowdown_percent` of their usual time.
+    pub fn observe(&mut self, class: &ClassName, took: Duration, slowdown_percent: u16) {
+        let usual = took.as_secs_f64() * 100.0 / f64::from(slowdown_percent.max(1));
         let entry = self
             .classes
             .entry(class.clone())
-            .or_insert((FIRST.as_secs_f64(), 0));
-        let weight = if entry.1 < EARLY {
+            .or_insert((INITIAL_TIME.as_secs_f64(), 0));
+        let weight = if entry.1 < EARLY_COUNT {
             EARLY_WEIGHT
         } else {
             WEIGHT
--- a/src/state/timestamp.rs
+++ b/src/state/timestamp.rs
@@ -1,4 +1,4 @@
-//! Points on one process's monotonic clock.
+//! Readings of the monotonic clock of one process.
 
 use serde::{Deserialize, Serialize};
 use std::{
@@ -8,14 +8,14 @@
 
 /// Microseconds on the monotonic clock of one process.
 ///
-/// NB: moments of two processes can't be compared; what crosses a process edge is a [`Duration`].
+/// Timestamps of two processes can't be compared, so processes send each other a [`Duration`] instead.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Timestamp(pub u64);
 
 impl Timestamp {
-    /// Time from `earlier` to `self`; zero if `earlier` is the later one.
+    /// Time from `earlier` to `self`; zero if `earlier` is later than `self`.
     #[must_use]
     pub fn since(self, earlier: Self) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
@@ -25,8 +25,8 @@
 impl Add<Duration> for Timestamp {
     type Output = Self;
 
-    fn add(self, span: Duration) -> Self {
-        let micros = u64::try_from(span.as_micros()).unwrap_or(u64::MAX);
+    fn add(self, duration: Duration) -> Self {
+        let micros = u64::try_from(duration.as_micros()).unwrap_or(u64::MAX);
         Self(self.0.saturating_add(micros))
     }
 }
@@ -34,8 +34,8 @@
 impl Sub<Duration> for Timestamp {
     type Output = Self;
 
-    fn sub(self, span: Duration) -> Self {
-        let micros = u64::try_from(span.as_micros()).unwrap_or(u64::MAX);
+    fn sub(self, duration: Duration) -> Self {
+        let micros = u64::try_from(duration.as_micros()).unwrap_or(u64::MAX);
         Self(self.0.saturating_sub(micros))
     }
 }
