--- a/src/proxy/core/mesh_roles.rs
+++ b/src/proxy/core/mesh_roles.rs
@@ -17,7 +17,7 @@
 };
 use std::{net::SocketAddr, time::Duration};
 
-/// How long a node reads the store in place of one that can't reach it. That node repeats its request while the failure lasts.
+/// How long a node reads the store in place of one that can't reach it. The other node asks again as long as the failure lasts.
 const SUBSTITUTE_READING_TIME: Duration = Duration::from_secs(8);
 
 impl ProxyCore {
@@ -88,7 +88,7 @@
     }
 
     /// The other nodes of the zone in ring order, starting with the one after this node. `has_version` returns whether a node is
-    /// known to have the routing table in force. Empty if no table is in force.
+    /// known to have the state that the caller spreads along the ring. Empty if no routing table is in force.
     #[must_use]
     pub fn list_ring(&self, has_version: impl Fn(SocketAddr) -> bool) -> Vec<RingNode> {
         let directory = self.directory.borrow();
@@ -96,31 +96,31 @@
             return Vec::new();
         }
         let own_zone = &self.settings.availability_zone;
-        let views = directory.nodes.values();
-        let zone = views.filter(|view| view.record.availability_zone == *own_zone);
-        let ring = order_ring(self.settings.peers, zone.map(|view| view.record.address));
-        let nodes = ring.into_iter().map(|address| RingNode {
+        let known_nodes = directory.nodes.values();
+        let zone = known_nodes.filter(|node| node.record.availability_zone == *own_zone);
+        let ring = order_ring(self.settings.peers, zone.map(|node| node.record.address));
+        let ring_nodes = ring.into_iter().map(|address| RingNode {
             address,
             has_version: has_version(address),
         });
-        nodes.collect()
+        ring_nodes.collect()
     }
 
     /// The other reachable nodes whose record matches.
     fn list_reachable(&self, matches: impl Fn(&NodeRecord) -> bool) -> Vec<SocketAddr> {
         let now = self.timers.now();
         let directory = self.directory.borrow();
-        let views = directory.nodes.values();
-        views
-            .filter(|view| matches(&view.record))
-            .filter(|view| is_reachable(view, now))
-            .map(|view| view.record.address)
+        let known_nodes = directory.nodes.values();
+        known_nodes
+            .filter(|node| matches(&node.record))
+            .filter(|node| is_reachable(node, now))
+            .map(|node| node.record.address)
             .filter(|address| *address != self.settings.peers)
             .collect()
     }
 }
 
 /// Whether no request to the node has failed since its last success and no pause is in force.
-fn is_reachable(view: &KnownNode, now: Timestamp) -> bool {
-    view.consecutive_failures == 0 && view.backoff_until <= now
+fn is_reachable(node: &KnownNode, now: Timestamp) -> bool {
+    node.consecutive_failures == 0 && node.backoff_until <= now
 }
--- a/src/proxy/crash_detection.rs
+++ b/src/proxy/crash_detection.rs
@@ -29,8 +29,8 @@
 };
 use tokio::task::spawn_local;
 
-/// Maximum number of nodes tried until enough crash counters have accepted a message. Some may be gone: node records remain for half
-/// an hour after the end of their nodes.
+/// Maximum number of nodes tried until enough crash counters have accepted a message. Some of the nodes may have ended, since node
+/// records remain for half an hour after that.
 const MAX_NODES_TRIED: usize = 12;
 
 /// A request that was aborted at an upstream.
@@ -120,7 +120,7 @@
 }
 
 /// Reports to the crash counters of a request that it was answered after another upstream had crashed while executing it.
-pub fn clear_suspect(core: &Rc<ProxyCore>, fingerprint: RequestFingerprint) {
+pub fn report_answer_after_crash(core: &Rc<ProxyCore>, fingerprint: RequestFingerprint) {
     notify_crash_counters(core, fingerprint, CrashFinding::Answered(fingerprint));
 }
 
@@ -307,10 +307,10 @@
 /// compensated. Unreachable nodes come first, since messages are forwarded from the end.
 fn list_receivers(core: &ProxyCore) -> Vec<SocketAddr> {
     let directory = core.directory.borrow();
-    let mut views: Vec<_> = directory.nodes.iter().collect();
-    views.shuffle(&mut rand::rng());
-    views.sort_by_key(|(_, view)| Reverse(view.consecutive_failures));
-    let addresses = views.into_iter().map(|(address, _)| *address);
+    let mut known_nodes: Vec<_> = directory.nodes.iter().collect();
+    known_nodes.shuffle(&mut rand::rng());
+    known_nodes.sort_by_key(|(_, node)| Reverse(node.consecutive_failures));
+    let addresses = known_nodes.into_iter().map(|(address, _)| *address);
     addresses
         .filter(|address| *address != core.settings.peers)
         .collect()
--- a/src/proxy/entry.rs
+++ b/src/proxy/entry.rs
@@ -33,8 +33,8 @@
 
 /// `Retry-After` of a node that has no routing table yet, or an outdated one.
 const NO_ROUTES_RETRY_AFTER: Duration = Duration::from_millis(200);
-/// A node must have a configuration in force that was reported to it this share of the apply time ago; without it, it refuses
-/// requests. The apply time is the limit until a configuration is in force at all nodes; its rest covers reports that arrive late.
+/// Share of the apply time after which a node refuses requests if a newer configuration was reported to it and is not in force here.
+/// The apply time is the limit until a configuration is in force at all nodes; the rest of it covers reports that arrive late.
 const VERSION_REPORT_SHARE: f64 = 0.5;
 /// Share of the grace period (stop request to kill) in which a stopping node accepts requests. Clients continue to send while too
 /// few other nodes are ready; a request that is still in progress when the node is killed would be aborted.
@@ -158,6 +158,7 @@
     since.is_some_and(|since| now.since(since) > core.limits().grace.mul_f64(ACCEPTING_GRACE_SHARE))
 }
 
+/// Finds the route and the service of a request and makes attempts until it has an outcome, at the latest until its deadline.
 async fn route_request(
     core: &Rc<ProxyCore>,
     req: CallerRequest,
@@ -189,16 +190,16 @@
     if time_left.is_zero() {
         return RequestOutcome::Unknown(UnknownCause::DeadlinePassed);
     }
-    if let Some(left) = find_quarantine(core, fingerprint) {
-        return RequestOutcome::Refused(RefusalReason::Quarantined, left);
+    if let Some(remaining) = find_quarantine(core, fingerprint) {
+        return RequestOutcome::Refused(RefusalReason::Quarantined, remaining);
     }
     wait_during_startup(core, || {
         core.has_records() || has_node_of_service(core, &service)
     })
     .await;
     let deadline = arrived + time_left;
-    let left = deadline.since(core.timers.now());
-    if left.is_zero() {
+    let remaining = deadline.since(core.timers.now());
+    if remaining.is_zero() {
         return RequestOutcome::Refused(RefusalReason::NoUpstream, NO_ROUTES_RETRY_AFTER);
     }
     let call = ClientCall {
@@ -209,7 +210,7 @@
         arrived,
         deadline,
     };
-    let timeout = core.timers.after(left);
+    let timeout = core.timers.after(remaining);
     let mut request_router = RequestRouter::new(core, call, line.attempts());
     tokio::select! {
         outcome = request_router.run() => outcome,
@@ -233,15 +234,15 @@
         .limits()
         .configuration_apply
         .mul_f64(VERSION_REPORT_SHARE);
-    let own = core.directory.borrow().version();
+    let version = core.directory.borrow().version();
     let lag = core.version_lag.borrow();
-    lag.is_overdue(own, core.timers.now(), limit)
+    lag.is_overdue(version, core.timers.now(), limit)
 }
 
 fn has_node_of_service(core: &ProxyCore, service: &ServiceName) -> bool {
     let directory = core.directory.borrow();
     let mut nodes = directory.nodes.values();
-    nodes.any(|view| view.record.service == *service && !view.record.leaving)
+    nodes.any(|node| node.record.service == *service && !node.record.leaving)
 }
 
 fn pick_service(core: &ProxyCore, route: &Route) -> Option<ServiceName> {
--- a/src/proxy/entry/attempt.rs
+++ b/src/proxy/entry/attempt.rs
@@ -17,12 +17,12 @@
 };
 use std::{cell::Cell, net::SocketAddr, rc::Rc, time::Duration};
 
-/// Time for which a node gets no attempts after it refused all requests to its upstream. The upstream announces a change within a
-/// second or two; more frequent attempts cost a message each way and achieve nothing.
+/// Time for which a node gets no attempts after a refusal that holds for all requests, for instance because its upstream is down. The
+/// upstream announces a change within a second or two; more frequent attempts cost a message each way and achieve nothing.
 const REFUSAL_PAUSE: Duration = Duration::from_millis(300);
 
-/// A node that a request gave up on gets no attempts for a while if it has been silent for this time. That is longer than usual
-/// work takes, in which other requests get answers from the node.
+/// If a request ends while an attempt at a node is in progress and the node has sent nothing for this time, the node gets no attempts
+/// for a while. The time is longer than usual work takes, so a healthy node answers other requests within it.
 const SILENCE_LIMIT: Duration = Duration::from_millis(150);
 
 /// An attempt that has ended.
@@ -62,8 +62,8 @@
 /// Milliseconds of `finish_or_wait` if the attempt was refused (`refused` is true) or was not refused (`refused` is false);
 /// 0 in the other case or without an answer.
 fn read_finish_or_wait_ms(result: &Result<CompletedAttempt, SendError>, refused: bool) -> u64 {
-    result.as_ref().map_or(0, |executed| {
-        let answer = &executed.answer;
+    result.as_ref().map_or(0, |completed| {
+        let answer = &completed.answer;
         let is_wanted = matches!(answer.outcome, AttemptOutcome::Refused(_)) == refused;
         if is_wanted {
             in_millis(answer.finish_or_wait)
@@ -75,7 +75,7 @@
 
 fn describe_result(result: &Result<CompletedAttempt, SendError>) -> LoggedEnd {
     match result {
-        Ok(executed) => match (executed.answer.outcome, &executed.response) {
+        Ok(completed) => match (completed.answer.outcome, &completed.response) {
             (AttemptOutcome::Answered, Some(response)) => {
                 LoggedEnd::Answered(response.status().as_u16())
             }
@@ -120,9 +120,9 @@
     ) -> Self {
         let sent = core.timers.now();
         let mut known_load_age = None;
-        if let Some(view) = core.directory.borrow_mut().nodes.get_mut(&to) {
-            view.record_sent_request(sent);
-            known_load_age = view.load.map(|(_, at)| sent.since(at));
+        if let Some(node) = core.directory.borrow_mut().nodes.get_mut(&to) {
+            node.record_sent_request(sent);
+            known_load_age = node.load.map(|(_, at)| sent.since(at));
         }
         Self {
             core: Rc::clone(core),
@@ -138,21 +138,26 @@
 
     fn finish(&self, result: &Result<CompletedAttempt, SendError>) {
         self.ended.set(true);
-        self.update_node_view(result);
-        let pace = result
+        self.update_known_node(result);
+        let slowdown_percent = result
             .as_ref()
-            .map_or(0, |executed| executed.answer.load.slowdown_percent);
+            .map_or(0, |completed| completed.answer.load.slowdown_percent);
         self.record_event(
             describe_result(result),
             (
                 read_finish_or_wait_ms(result, true),
                 read_finish_or_wait_ms(result, false),
             ),
-            pace,
+            slowdown_percent,
         );
     }
 
-    fn record_event(&self, end: LoggedEnd, (finish_ms, waited_ms): (u64, u64), pace_percent: u16) {
+    fn record_event(
+        &self,
+        end: LoggedEnd,
+        (finish_ms, waited_ms): (u64, u64),
+        slowdown_percent: u16,
+    ) {
         self.attempts.record_event(ProxyEvent::AttemptReturned {
             request: self.core.read_request_id(&self.call.req.headers),
             to: self.to,
@@ -162,24 +167,24 @@
             end,
             finish_ms,
             waited_ms,
-            pace_percent,
+            pace_percent: slowdown_percent,
             took_ms: in_millis(self.core.timers.now().since(self.sent)),
         });
     }
 
-    fn update_node_view(&self, result: &Result<CompletedAttempt, SendError>) {
-        let Ok(executed) = result else {
+    fn update_known_node(&self, result: &Result<CompletedAttempt, SendError>) {
+        let Ok(completed) = result else {
             return self.pause_node();
         };
         let now = self.core.timers.now();
         let mut directory = self.core.directory.borrow_mut();
-        let Some(view) = directory.nodes.get_mut(&self.to) else {
+        let Some(node) = directory.nodes.get_mut(&self.to) else {
             return;
         };
-        view.record_response(now);
-        view.load = Some((executed.answer.load, now));
-        if let AttemptOutcome::Refused(reason) = executed.answer.outcome {
-            pause_after_refusal(view, reason, now);
+        node.record_response(now);
+        node.load = Some((completed.answer.load, now));
+        if let AttemptOutcome::Refused(reason) = completed.answer.outcome {
+            pause_after_refusal(node, reason, now);
         }
     }
 
@@ -190,11 +195,11 @@
         }
         let now = self.core.timers.now();
         let mut directory = self.core.directory.borrow_mut();
-        let Some(view) = directory.nodes.get_mut(&self.to) else {
+        let Some(node) = directory.nodes.get_mut(&self.to) else {
             return;
         };
-        let pause = view.record_unreachable(now);
-        let failures = view.consecutive_failures;
+        let pause = node.record_unreachable(now);
+        let failures = node.consecutive_failures;
         drop(directory);
         self.core.log(&ProxyEvent::NodeUnreachable {
             to: self.to,
@@ -209,18 +214,18 @@
     fn is_node_silent(&self) -> bool {
         let now = self.core.timers.now();
         let directory = self.core.directory.borrow();
-        let Some(view) = directory.nodes.get(&self.to) else {
+        let Some(node) = directory.nodes.get(&self.to) else {
             return false;
         };
-        let silence = view.silence(now);
+        let silence = node.silence(now);
         silence >= SILENCE_LIMIT && silence >= now.since(self.sent)
     }
 }
 
 /// Pauses attempts at a node that refuses all requests, whatever their class.
-fn pause_after_refusal(view: &mut KnownNode, reason: RefusalReason, now: Timestamp) {
+fn pause_after_refusal(node: &mut KnownNode, reason: RefusalReason, now: Timestamp) {
     if !Mechanism::NodeBackoff.is_disabled() && reason.is_node_wide() {
-        view.backoff_until = now + REFUSAL_PAUSE;
+        node.backoff_until = now + REFUSAL_PAUSE;
     }
 }
 
@@ -234,8 +239,8 @@
             }
         }
         let mut directory = self.core.directory.borrow_mut();
-        if let Some(view) = directory.nodes.get_mut(&self.to) {
-            view.record_ended_request();
+        if let Some(node) = directory.nodes.get_mut(&self.to) {
+            node.record_ended_request();
         }
     }
 }
--- a/src/proxy/entry/request_router.rs
+++ b/src/proxy/entry/request_router.rs
@@ -128,6 +128,7 @@
         }
     }
 
+    /// Performs the next step; returns the outcome if the request ends with it.
     fn perform_step(&mut self, step: NextStep) -> Option<RequestOutcome> {
         let continues = match step {
             NextStep::End(outcome) => return Some(outcome),
@@ -222,17 +223,17 @@
         }
     }
 
-    fn start_attempt(&mut self, to: SocketAddr, within: Duration) {
+    fn start_attempt(&mut self, to: SocketAddr, finish_within: Duration) {
         self.attempts.count_node_asked();
         let now = self.core.timers.now();
-        let spent = now.since(self.call.arrived);
+        let elapsed = now.since(self.call.arrived);
         let hop = HopRequest {
             service: self.call.service.clone(),
             class: self.call.route.class.clone(),
             caller: self.core.settings.service.clone(),
             time_left: self.call.deadline.since(now),
-            finish_within: within,
-            target_left: self.call.route.target.saturating_sub(spent),
+            finish_within,
+            target_left: self.call.route.target.saturating_sub(elapsed),
             priority: self.call.route.priority,
             idempotent: self.call.route.idempotent,
             is_retry: self.attempts.upstream_attempts() > 0 || !self.in_flight.is_empty(),
@@ -254,8 +255,8 @@
     }
 
     fn refuse(&self) -> RequestOutcome {
-        if let Some(left) = find_quarantine(&self.core, self.call.fingerprint) {
-            return RequestOutcome::Refused(RefusalReason::Quarantined, left);
+        if let Some(remaining) = find_quarantine(&self.core, self.call.fingerprint) {
+            return RequestOutcome::Refused(RefusalReason::Quarantined, remaining);
         }
         let spread = rand::rng().random_range(RETRY_AFTER_SPREAD);
         RequestOutcome::Refused(self.last_refusal, self.search.find_retry_after(spread))
@@ -277,9 +278,9 @@
 /// Whether a service has upstreams in evacuated zones.
 fn has_evacuated_upstreams(core: &ProxyCore, service: &ServiceName) -> bool {
     let directory = core.directory.borrow();
-    let mut views = directory.nodes.values();
-    views.any(|view| {
-        view.record.service == *service && core.evacuations.contains(&view.record.availability_zone)
+    let mut known_nodes = directory.nodes.values();
+    known_nodes.any(|node| {
+        node.record.service == *service && core.evacuations.contains(&node.record.availability_zone)
     })
 }
 
@@ -290,9 +291,9 @@
 ) -> Vec<PlacementCandidate> {
     let directory = core.directory.borrow();
     let chance = || rand::rng().random_range(0.0..1.0);
-    let views = directory.nodes.values();
+    let known_nodes = directory.nodes.values();
     order_candidates(
-        views.filter(|view| !core.evacuations.contains(&view.record.availability_zone)),
+        known_nodes.filter(|node| !core.evacuations.contains(&node.record.availability_zone)),
         (service, class),
         &core.settings.availability_zone,
         chance,
--- a/src/proxy/entry/request_router/attempt_results.rs
+++ b/src/proxy/entry/request_router/attempt_results.rs
@@ -8,7 +8,7 @@
     },
     proxy::{
         client_reply::RequestOutcome,
-        crash_detection::clear_suspect,
+        crash_detection::report_answer_after_crash,
         entry::{attempt::AttemptResult, request_router::RequestRouter},
         executing::CompletedAttempt,
     },
@@ -79,7 +79,7 @@
             (AttemptOutcome::Refused(reason), _) => {
                 self.last_refusal = reason;
                 if reason == RefusalReason::QueueFull {
-                    self.record_offer(to, answer.finish_or_wait);
+                    self.record_full_queue(to, answer.finish_or_wait);
                 }
                 if reason.is_node_wide() {
                     self.search.continue_in_remote_zones();
@@ -89,18 +89,22 @@
         }
     }
 
-    fn record_offer(&mut self, address: SocketAddr, finish: Duration) {
+    fn record_full_queue(&mut self, address: SocketAddr, reported_finish: Duration) {
         let mut directory = self.core.directory.borrow_mut();
-        let Some(view) = directory.nodes.get_mut(&address) else {
+        let Some(node) = directory.nodes.get_mut(&address) else {
             return;
         };
-        view.record_refusal(&self.call.route.class, finish, self.core.timers.now());
-        let near = view.record.availability_zone == self.core.settings.availability_zone;
+        node.record_refusal(
+            &self.call.route.class,
+            reported_finish,
+            self.core.timers.now(),
+        );
+        let is_local = node.record.availability_zone == self.core.settings.availability_zone;
         drop(directory);
         self.search.record_refusal(Refusal {
             node: address,
-            in_local_zone: near,
-            finish_in: finish,
+            in_local_zone: is_local,
+            finish_in: reported_finish,
         });
     }
 
@@ -110,7 +114,7 @@
             self.earlier_outcome,
             Some(RequestOutcome::Unknown(UnknownCause::UpstreamCrashed))
         ) {
-            clear_suspect(&self.core, self.call.fingerprint);
+            report_answer_after_crash(&self.core, self.call.fingerprint);
         }
         let failed = response.status().is_server_error();
         let outcome = RequestOutcome::Answered(Box::new(response));
--- a/src/proxy/executing.rs
+++ b/src/proxy/executing.rs
@@ -88,7 +88,7 @@
             number
         }
     };
-    let slot = SlotGuard::new(core, number);
+    let slot_guard = SlotGuard::new(core, number);
     // While the request waited, the upstream may have started to drain, or the request may have been quarantined.
     if let Some((reason, finish_or_wait)) = find_refusal(core, hop, fingerprint) {
         return refuse(core, reason, finish_or_wait);
@@ -107,7 +107,7 @@
         .borrow_mut()
         .record_start(&hop.class, core.timers.now());
     let (outcome, response) = dispatch(core, hop, req, fingerprint, time_left).await;
-    drop(slot);
+    drop(slot_guard);
     core.calls_per_execution
         .borrow_mut()
         .record_end(&hop.class, &execution);
@@ -119,12 +119,12 @@
 
 fn request_slot(core: &ProxyCore, hop: &HopRequest, arrived: Timestamp) -> SlotDecision {
     let now = core.timers.now();
-    let spent = now.since(arrived);
+    let elapsed = now.since(arrived);
     let request = SlotRequest {
         priority: hop.priority,
-        finish_within: hop.finish_within.saturating_sub(spent),
-        target_left: hop.target_left.saturating_sub(spent),
-        time_left: hop.time_left.saturating_sub(spent),
+        finish_within: hop.finish_within.saturating_sub(elapsed),
+        target_left: hop.target_left.saturating_sub(elapsed),
+        time_left: hop.time_left.saturating_sub(elapsed),
         expected: core.slots.expected_time(&hop.class),
     };
     core.slots.queue.borrow_mut().submit(request, now)
@@ -138,8 +138,8 @@
 ) -> Option<(RefusalReason, Duration)> {
     // Clients repeat a request that crashes upstreams under new request IDs and at other nodes. Without the quarantine each
     // repetition would crash one more upstream and abort all requests that it executes.
-    if let Some(left) = find_quarantine(core, fingerprint) {
-        return Some((RefusalReason::Quarantined, left));
+    if let Some(remaining) = find_quarantine(core, fingerprint) {
+        return Some((RefusalReason::Quarantined, remaining));
     }
     find_unavailability_reason(core, hop).map(|reason| (reason, Duration::ZERO))
 }
--- a/src/proxy/executing/attempt_log_line.rs
+++ b/src/proxy/executing/attempt_log_line.rs
@@ -95,7 +95,9 @@
             digest: self.fingerprint,
             from: self.sender,
             class: self.class.clone(),
-            instance: upstream.current().map(|run| run.identity.instance.clone()),
+            instance: upstream
+                .current()
+                .map(|current| current.identity.instance.clone()),
             end,
             running: self.running,
             queued: self.queued,
--- a/src/proxy/executing/slowdown.rs
+++ b/src/proxy/executing/slowdown.rs
@@ -170,7 +170,7 @@
         .local_upstream
         .borrow()
         .serving()
-        .map(|run| run.service.clone());
+        .map(|current| current.service.clone());
     let Some(uri) = service.and_then(|service| find_health_uri(core, &service)) else {
         return;
     };
--- a/src/proxy/executing/warmup.rs
+++ b/src/proxy/executing/warmup.rs
@@ -16,14 +16,18 @@
 const MAX_WARMUP_AGE: Duration = Duration::from_millis(250);
 
 /// Records the remaining warm-up time that the upstream reports. Logs the start of a warm-up.
-pub fn record_warmup_left(core: &ProxyCore, service: &ServiceName, left: Duration) {
-    let Some(cold) = find_cold_service(core, service).filter(|_| !left.is_zero()) else {
+pub fn record_warmup_left(core: &ProxyCore, service: &ServiceName, remaining: Duration) {
+    let Some(warmup_limit) = find_warmup_limit(core, service).filter(|_| !remaining.is_zero())
+    else {
         return;
     };
-    let limit = core.limits().slow_start.limit(cold.requests_per_minute);
+    let limit = core
+        .limits()
+        .slow_start
+        .limit(warmup_limit.requests_per_minute);
     let report = WarmupReport {
-        remaining: left,
-        total: cold.duration,
+        remaining,
+        total: warmup_limit.duration,
         limit,
     };
     let now = core.timers.now();
@@ -33,7 +37,7 @@
     drop(queue);
     if !was_warming_up {
         core.log(&ProxyEvent::UpstreamWarmingUp {
-            left_ms: in_millis(left),
+            left_ms: in_millis(remaining),
             limit,
         });
     }
@@ -53,8 +57,8 @@
     }
 }
 
-/// The service of the local upstream. Before its first announcement, when it is probed to confirm the stored record, the one of the
-/// settings.
+/// The service of the local upstream. Before the first announcement, when the upstream is probed to verify the stored record, it is the
+/// service in the settings.
 fn find_local_service(core: &ProxyCore) -> ServiceName {
     let upstream = core.local_upstream.borrow();
     let current = upstream.current();
@@ -66,7 +70,7 @@
 
 /// Probes whether the upstream is warming up, unless this is known recently enough or its service has no warm-up limit.
 pub async fn refresh_warmup(core: &Rc<ProxyCore>) {
-    let has_warmup_limit = find_cold_service(core, &find_local_service(core)).is_some();
+    let has_warmup_limit = find_warmup_limit(core, &find_local_service(core)).is_some();
     let now = core.timers.now();
     let probed_at = core.slots.warmup_probed_at.get();
     let is_fresh = probed_at.is_some_and(|at| now.since(at) <= MAX_WARMUP_AGE);
@@ -76,6 +80,6 @@
     probe_slowdown(core).await;
 }
 
-fn find_cold_service(core: &ProxyCore, service: &ServiceName) -> Option<WarmUpLimit> {
+fn find_warmup_limit(core: &ProxyCore, service: &ServiceName) -> Option<WarmUpLimit> {
     core.routes()?.find_service(service)?.warm_up
 }
