--- a/tests/integration/metrics_page.rs
+++ b/tests/integration/metrics_page.rs
@@ -1,4 +1,4 @@
-//! The operators' page of metrics has one row for every metric that a node serves.
+//! Compares the operators' page of metrics with the metrics that a node serves.
 
 use camphorturn::{
     coordination::{retry_budget::RetryBudgetRules, slow_start::SlowStartRules},
@@ -42,7 +42,7 @@
     ProxyCore::new(settings, TimerService::fake())
 }
 
-/// Names and kinds, as the text declares them.
+/// Names and types of the served metrics, from the `# TYPE` lines.
 fn list_served() -> BTreeSet<(String, String)> {
     let core = start_core();
     let text = render_metrics(&core);
--- a/tests/integration/proxy_events.rs
+++ b/tests/integration/proxy_events.rs
@@ -1,9 +1,9 @@
-//! The catalogue of a node's numbered lines is held to the code.
+//! Compares the list of events in `docs/EVENTS.md` with the events in the code.
 
 const PAGE: &str = include_str!("../../docs/EVENTS.md");
 const SOURCE: &str = include_str!("../../src/proxy/events/catalogue.rs");
 
-/// Numbers and names as the source has them: `(801, "request_ended")`.
+/// Reads the numbers and names of all events from the source, where they stand as `(801, "request_ended")`.
 fn read_source() -> Vec<(u16, String)> {
     let found = SOURCE.split("=> (").skip(1).filter_map(|rest| {
         let (number, rest) = rest.split_once(", \"")?;
--- a/tests/integration/table_spreading.rs
+++ b/tests/integration/table_spreading.rs
@@ -1,7 +1,7 @@
-//! How a new routing table reaches all nodes of a mesh, in virtual time over links of 10 to 200 Mbit/s.
+//! Simulates how a new routing table reaches all nodes of a mesh, in virtual time over links of 10 to 200 Mbit/s.
 
 mod calls;
-mod glue;
+mod fetching;
 mod mesh;
 mod network;
 mod tables;
@@ -11,48 +11,48 @@
 use std::{rc::Rc, time::Duration};
 use tables::{Tables, build_service, build_table};
 
-/// When the first version is published.
-const PUBLISHED: Timestamp = Timestamp(1_000_000);
-/// Longest time until a version is in force at all nodes, from the first that has it.
-const BOUND: Duration = Duration::from_millis(2_500);
+/// Time at which the first new version is published.
+const FIRST_PUBLISHED_AT: Timestamp = Timestamp(1_000_000);
+/// Longest allowed time from the first node that has a version in force to the last one.
+const MAX_DISTRIBUTION_TIME: Duration = Duration::from_millis(2_500);
 /// The same in a mesh of 870 nodes.
-const LARGE_BOUND: Duration = Duration::from_secs(8);
-/// Time that is played after the last publication.
-const PLAYED: Duration = Duration::from_secs(12);
-/// Routes and services before and after a large publication, and after the small one that follows.
+const LARGE_MAX_DISTRIBUTION_TIME: Duration = Duration::from_secs(8);
+/// Time that is simulated after the last publication.
+const TIME_AFTER_LAST_PUBLICATION: Duration = Duration::from_secs(12);
+/// Numbers of routes and services before a large publication, after it, and after the small one that follows.
 const SIZES: [(usize, usize); 3] = [(19, 12), (1_419, 12), (1_420, 12)];
-/// Changes of the configuration a second at the size to design for: 2,700 a day.
-const CHANGES: f64 = 2_700.0 / 86_400.0;
-/// Bytes a second that a node may spend on control.
-const CONTROL_BYTES: f64 = 3_000.0;
-/// Bytes that come in with a check or its answer: heads, a version, what opens a connection.
+/// Changes of the configuration per second at the size that the software is designed for: 2,700 per day.
+const CHANGES_PER_SECOND: f64 = 2_700.0 / 86_400.0;
+/// Bytes per second that a node may send and receive for control traffic.
+const MAX_CONTROL_BYTES_PER_SECOND: f64 = 3_000.0;
+/// Bytes received with a check or its answer: headers, a version and the opening of a connection.
 const CHECK_BYTES: usize = 320;
-/// Pause of a node between requests to others.
+/// Pause between the requests of a node to other nodes.
 const REQUEST_PAUSE: Duration = Duration::from_millis(50);
 
-const PLAN: Plan = Plan {
+const SMALL_PLAN: Plan = Plan {
     nodes: 60,
     zones: 3,
     seed: 0,
-    dark_one_in: 0,
+    down_one_in: 0,
     loses_readers: false,
     request_pause: None,
 };
-const LARGE: Plan = Plan {
+const LARGE_PLAN: Plan = Plan {
     nodes: 870,
     zones: 5,
-    ..PLAN
+    ..SMALL_PLAN
 };
 
-/// Plays publications of one version after the other.
-fn play(plan: Plan, tables: &Rc<Tables>, pause: Duration) -> Mesh {
+/// Simulates the publication of one version after the other.
+fn simulate(plan: Plan, tables: &Rc<Tables>, pause: Duration) -> Mesh {
     let mut mesh = Mesh::new(plan, tables, ConfigurationVersion(1));
-    let mut at = PUBLISHED;
+    let mut at = FIRST_PUBLISHED_AT;
     for version in 2..=tables.newest().0 {
         mesh.publish(ConfigurationVersion(version), at);
         at = at + pause;
     }
-    mesh.run(at + PLAYED);
+    mesh.run(at + TIME_AFTER_LAST_PUBLICATION);
     mesh
 }
 
@@ -64,32 +64,33 @@
     Rc::new(Tables::new(&SIZES[1..]))
 }
 
-/// What came of a publication.
+/// Result of a simulated publication.
 #[derive(Clone, Copy, Debug, Default)]
 struct Outcome {
-    /// Nodes that are not dark and lack it.
+    /// Nodes that are up and lack the version.
     lacking: usize,
-    /// From the first node that had it to the last.
+    /// Time from the first node that had the version in force to the last.
     took: Duration,
-    /// Most copies that one node took in beyond one a version and one for each question that failed.
+    /// Largest number of tables that one node received beyond one per version and one per failed fetch.
     surplus: usize,
+    /// Failed fetches of all nodes.
     failed: usize,
-    /// Of a mean node.
+    /// Bytes that a node received on average.
     bytes_in: usize,
     most_bytes_in: usize,
     most_bytes_out: usize,
 }
 
-fn judge(mesh: &Mesh, version: ConfigurationVersion) -> Outcome {
+fn evaluate(mesh: &Mesh, version: ConfigurationVersion) -> Outcome {
     let first = mesh.nodes.iter().filter_map(|node| node.had(version)).min();
-    let first = first.expect("a reader has it");
+    let first = first.expect("a reader has the version");
     let versions = usize::try_from(version.0 - 1).expect("few versions");
     let mut outcome = Outcome::default();
     for (number, node) in mesh.nodes.iter().enumerate() {
         outcome.bytes_in += mesh.network.bytes_in(number) / mesh.nodes.len();
         outcome.most_bytes_in = outcome.most_bytes_in.max(mesh.network.bytes_in(number));
         outcome.most_bytes_out = outcome.most_bytes_out.max(mesh.network.bytes_out(number));
-        if node.is_dark() {
+        if node.is_down() {
             continue;
         }
         match node.had(version) {
@@ -103,52 +104,52 @@
     outcome
 }
 
-/// Plays a plan with several seeds; all nodes that are not dark have the version in time, each by one copy.
+/// Simulates a plan with several seeds. Checks that all nodes that are up get the newest version in time, with one copy each.
 fn check_all(
     plan: Plan,
     tables: &Rc<Tables>,
     seeds: impl IntoIterator<Item = u64>,
-    bound: Duration,
+    max_time: Duration,
 ) -> Vec<Outcome> {
-    let play_seed = |seed| {
+    let simulate_seed = |seed| {
         let plan = Plan { seed, ..plan };
-        let mesh = play(plan, tables, Duration::from_millis(1_500));
-        let outcome = judge(&mesh, tables.newest());
+        let mesh = simulate(plan, tables, Duration::from_millis(1_500));
+        let outcome = evaluate(&mesh, tables.newest());
         assert_eq!(outcome.lacking, 0, "{plan:?}: {outcome:?}");
-        assert!(outcome.took <= bound, "{plan:?}: {outcome:?}");
+        assert!(outcome.took <= max_time, "{plan:?}: {outcome:?}");
         assert_eq!(outcome.surplus, 0, "{plan:?}: {outcome:?}");
         outcome
     };
-    seeds.into_iter().map(play_seed).collect()
+    seeds.into_iter().map(simulate_seed).collect()
 }
 
-/// Bytes that a node takes in at most for a change of so many: that once, what it takes to offer and ask, and two checks by
-/// the node before it with the answers to two of its own.
-const fn byte_bound(change: usize) -> usize {
+/// Largest number of bytes that a node may receive for a change of this size: the change once, the offers and requests for it, and
+/// two checks by its predecessor with the answers to two checks of its own.
+const fn max_bytes_in(change: usize) -> usize {
     change + change / 20 + 6_000 + 4 * CHECK_BYTES
 }
 
-/// Plays one change in meshes of three sizes and prints its figures; those of docs/CAPACITY.md come from here:
+/// Simulates one change in meshes of three sizes and prints the results. The figures in docs/CAPACITY.md come from here:
 /// `cargo test --test integration spread_ -- --nocapture`.
 fn check_change(name: &str, tables: &Rc<Tables>) -> Vec<Outcome> {
     let change = tables.size_of_change(ConfigurationVersion(1), tables.newest());
-    let change = change.expect("it is newer");
+    let change = change.expect("the newest version has changes");
     let sizes = [
-        (60, 3, 8, BOUND),
-        (300, 5, 2, LARGE_BOUND),
-        (870, 5, 2, LARGE_BOUND),
+        (60, 3, 8, MAX_DISTRIBUTION_TIME),
+        (300, 5, 2, LARGE_MAX_DISTRIBUTION_TIME),
+        (870, 5, 2, LARGE_MAX_DISTRIBUTION_TIME),
     ];
     let mut all = Vec::new();
-    for (nodes, zones, seeds, bound) in sizes {
+    for (nodes, zones, seeds, max_time) in sizes {
         let plan = Plan {
             nodes,
             zones,
-            ..PLAN
+            ..SMALL_PLAN
         };
-        for outcome in check_all(plan, tables, 0..seeds, bound) {
+        for outcome in check_all(plan, tables, 0..seeds, max_time) {
             println!("{name}, {change} B, {nodes} nodes: {outcome:?}");
             assert_eq!(outcome.failed, 0, "{outcome:?}");
-            assert!(outcome.most_bytes_in <= byte_bound(change), "{outcome:?}");
+            assert!(outcome.most_bytes_in <= max_bytes_in(change), "{outcome:?}");
             all.push(outcome);
         }
     }
@@ -165,131 +166,137 @@
     check_change("one route of 1,420", &small_change());
 }
 
-/// A service more than 100, none of whose 400 routes move.
-fn service_more() -> Rc<Tables> {
+/// Tables with 400 routes whose change adds one service to 100. No route changes its service.
+fn table_with_new_service() -> Rc<Tables> {
     let mut next = build_table(2, 400, 100);
     next.services.push(build_service(100));
     Rc::new(Tables::of(vec![build_table(1, 400, 100), next]))
 }
 
-/// 100 services and 400 routes, one more 2,700 times a day.
+/// Meshes with 100 services and 400 routes, in which a route or a service is added 2,700 times a day.
 #[test]
 fn spread_usual_changes() {
     let route_more = Rc::new(Tables::new(&[(399, 100), (400, 100)]));
-    let whole = route_more.size_of_change(ConfigurationVersion(0), route_more.newest());
-    println!("whole table of 400 routes: {whole:?} B");
+    let whole_size = route_more.size_of_change(ConfigurationVersion(0), route_more.newest());
+    println!("whole table of 400 routes: {whole_size:?} B");
     for (name, tables) in [
         ("a route more of 400", route_more),
-        ("a service more of 100", service_more()),
+        ("a service more of 100", table_with_new_service()),
     ] {
         for outcome in check_change(name, &tables) {
             let bytes = outcome.most_bytes_in + outcome.most_bytes_out;
             let bytes = f64::from(u32::try_from(bytes).expect("few bytes"));
-            println!("{name}: at most {:.0} B/s in and out", bytes * CHANGES);
-            assert!(bytes * CHANGES <= CONTROL_BYTES);
+            println!(
+                "{name}: at most {:.0} B/s in and out",
+                bytes * CHANGES_PER_SECOND
+            );
+            assert!(bytes * CHANGES_PER_SECOND <= MAX_CONTROL_BYTES_PER_SECOND);
         }
     }
 }
 
-/// Symptom: a route more is answered 404 for seconds. Sequence: it is published while 1,400 others are still on their way.
-/// Cause: all of them are told again.
+/// Guards against a new route that is answered with 404 for seconds. It is published while a change of 1,400 other routes is
+/// still being distributed; if all of these are sent again, the new route is late.
 #[test]
 fn spread_small_after_large_change() {
     let tables = Rc::new(Tables::new(&SIZES));
-    check_all(PLAN, &tables, 0..8, BOUND);
-    check_all(LARGE, &tables, 0..1, LARGE_BOUND);
+    check_all(SMALL_PLAN, &tables, 0..8, MAX_DISTRIBUTION_TIME);
+    check_all(LARGE_PLAN, &tables, 0..1, LARGE_MAX_DISTRIBUTION_TIME);
 }
 
-/// Requests tell versions too, and so lead many nodes to the same.
+/// Requests report versions too. Guards against many nodes that fetch a table from the same node because of that.
 #[test]
 fn spread_with_requests() {
     let request_pause = Some(REQUEST_PAUSE);
     let plan = Plan {
         request_pause,
-        ..PLAN
+        ..SMALL_PLAN
     };
-    check_all(plan, &large_change(), 0..8, BOUND);
+    check_all(plan, &large_change(), 0..8, MAX_DISTRIBUTION_TIME);
     let plan = Plan {
         request_pause,
-        ..LARGE
+        ..LARGE_PLAN
     };
-    check_all(plan, &large_change(), 0..1, LARGE_BOUND);
+    check_all(plan, &large_change(), 0..1, LARGE_MAX_DISTRIBUTION_TIME);
 }
 
-/// Symptom: nodes lack a version. Sequence: a node that is to pass it on is dark. Cause: the nodes behind it aren't told.
+/// Guards against nodes that never get a version because a node that is to forward the offer to them is down.
 #[test]
-fn spread_past_dark_nodes() {
-    let dark_one_in = 8;
+fn spread_past_down_nodes() {
+    let down_one_in = 8;
     let plan = Plan {
-        dark_one_in,
-        ..PLAN
+        down_one_in,
+        ..SMALL_PLAN
     };
-    check_all(plan, &large_change(), 0..8, BOUND);
+    check_all(plan, &large_change(), 0..8, MAX_DISTRIBUTION_TIME);
     let plan = Plan {
-        dark_one_in,
-        ..LARGE
+        down_one_in,
+        ..LARGE_PLAN
     };
-    check_all(plan, &large_change(), 0..2, LARGE_BOUND);
+    check_all(plan, &large_change(), 0..2, LARGE_MAX_DISTRIBUTION_TIME);
 }
 
-/// Symptom: most nodes of a zone lack a version. Sequence: a reader offers it and is lost before it is asked. Cause: the other
-/// reader took it from a node that was offered it, so its own read brings nothing new and it tells nobody.
+/// Guards against most nodes of a zone lacking a version after a reader offered it and was lost before any node fetched it. The
+/// other reader got the version from a node with that offer, so its own read returns nothing new and it offers nothing.
 #[test]
 fn spread_from_lost_reader_in_quiet_mesh() {
     let plan = Plan {
         loses_readers: true,
-        ..PLAN
+        ..SMALL_PLAN
     };
-    check_all(plan, &large_change(), 0..8, BOUND);
+    check_all(plan, &large_change(), 0..8, MAX_DISTRIBUTION_TIME);
     let plan = Plan {
         loses_readers: true,
-        ..LARGE
+        ..LARGE_PLAN
     };
-    check_all(plan, &large_change(), 0..2, LARGE_BOUND);
+    check_all(plan, &large_change(), 0..2, LARGE_MAX_DISTRIBUTION_TIME);
 }
 
-/// Symptom: a node or two lack a version, though both readers offered it. Sequence: a reader takes the other's offer, passes it
-/// on in its own name and is lost. Cause: it stands in the middle of the other's tree, so the nodes behind it have heard of
-/// the version from nobody else. The seeds are those of 0 to 199 in which that happens.
+/// Guards against one or two nodes lacking a version although both readers offered it. A reader accepts the offer of the other
+/// one, forwards it in its own name and is lost. It is in the middle of the other's tree, so the nodes below it learn of the
+/// version from no other node. The seeds are those of 0 to 199 in which that happens.
 #[test]
 fn spread_past_lost_reader_in_quiet_mesh() {
     let plan = Plan {
         loses_readers: true,
-        ..PLAN
+        ..SMALL_PLAN
     };
-    check_all(plan, &large_change(), [81, 111, 130], BOUND);
+    check_all(plan, &large_change(), [81, 111, 130], MAX_DISTRIBUTION_TIME);
 }
 
-/// Symptom: nodes lack a version. Sequence: a reader offers it and is lost before it is asked, while requests tell of the
-/// version. Cause: nodes that heard of it wait for an offer that does not come.
+/// Guards against nodes that lack a version after a reader offered it and was lost before any node fetched it, while requests
+/// report the version. Nodes that know of the version only from requests wait for an offer that does not come.
 #[test]
 fn spread_from_lost_reader_with_requests() {
     let plan = Plan {
         loses_readers: true,
         request_pause: Some(REQUEST_PAUSE),
-        ..PLAN
+        ..SMALL_PLAN
     };
-    check_all(plan, &large_change(), 0..8, BOUND);
+    check_all(plan, &large_change(), 0..8, MAX_DISTRIBUTION_TIME);
     let plan = Plan {
         loses_readers: true,
         request_pause: Some(REQUEST_PAUSE),
-        ..LARGE
+        ..LARGE_PLAN
     };
-    check_all(plan, &large_change(), 0..1, LARGE_BOUND);
+    check_all(plan, &large_change(), 0..1, LARGE_MAX_DISTRIBUTION_TIME);
 }
 
 #[test]
-fn play_is_the_same_each_time() {
+fn simulate_same_seed() {
     let plan = Plan {
-        dark_one_in: 8,
+        down_one_in: 8,
         request_pause: Some(REQUEST_PAUSE),
-        ..PLAN
+        ..SMALL_PLAN
     };
     let describe = || {
-        let mesh = play(plan, &large_change(), Duration::ZERO);
+        let mesh = simulate(plan, &large_change(), Duration::ZERO);
         let nodes = mesh.nodes.iter();
-        let taken: Vec<_> = nodes.map(|node| node.in_force.clone()).collect();
-        format!("{taken:?} {:?}", judge(&mesh, ConfigurationVersion(2)))
+        let versions: Vec<_> = nodes.map(|node| node.in_force.clone()).collect();
+        format!(
+            "{versions:?} {:?}",
+            evaluate(&mesh, ConfigurationVersion(2))
+        )
     };
     assert_eq!(describe(), describe());
 }
--- a/tests/integration/table_spreading/calls.rs
+++ b/tests/integration/table_spreading/calls.rs
@@ -1,24 +1,24 @@
-//! Messages with state between the nodes of a modelled mesh, as `src/proxy/state_messages.rs` has them.
+//! State messages between the nodes of the simulated mesh. They follow `src/proxy/state_messages.rs`.
 
 use super::{
-    mesh::{Call, Dark, Event, Mesh, Purpose, address},
+    mesh::{Call, Event, Mesh, Outage, Purpose, address},
     network::{Leg, Transfer},
 };
 use camphorturn::{coordination::table_sources::TableOffer, protocol::hop::StateMessage};
 use std::time::Duration;
 
-/// Time to open a connection, as in a node.
-const OPENING: Duration = Duration::from_millis(250);
-/// Longest time until an answer begins and between two pieces of it, as in a node.
-const ANSWERING: Duration = Duration::from_secs(1);
-/// Bytes of an opening, each way.
-const OPENING_BYTES: usize = 60;
-/// Bytes of the head of a message and of its packets.
+/// Timeout for opening a connection, the same as in a node.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
+/// Longest time until an answer begins and between two chunks of it, the same as in a node.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
+/// Bytes in each direction to open a connection.
+const CONNECT_BYTES: usize = 60;
+/// Bytes of the headers of a message and of its packets.
 const HEAD_BYTES: usize = 200;
-/// Assumed work of a node with a tenth of a core on a message.
-const WORK: Duration = Duration::from_millis(1);
-/// Assumed work on each byte of a table: one end writes it, the other reads and applies it.
-const WORK_PER_BYTE: Duration = Duration::from_nanos(600);
+/// Assumed time to process a message on a node with a tenth of a core.
+const CPU_TIME_PER_MESSAGE: Duration = Duration::from_millis(1);
+/// Assumed time per byte of a table: the sender writes it, the receiver reads and applies it.
+const CPU_TIME_PER_TABLE_BYTE: Duration = Duration::from_nanos(600);
 
 impl Mesh {
     pub fn call(&mut self, from: usize, to: usize, purpose: Purpose) -> usize {
@@ -27,49 +27,51 @@
             from,
             to,
             purpose,
-            opened: false,
-            ended: false,
-            progress: self.timeline.now(),
-            is_again: false,
+            is_connected: false,
+            is_ended: false,
+            last_progress: self.timeline.now(),
+            is_second_fetch: false,
             answer: None,
         });
-        self.timeline.after(OPENING, Event::OpeningDue(call));
-        self.timeline.after(ANSWERING, Event::AnswerDue(call));
-        self.send(call, Leg::Open, OPENING_BYTES);
+        self.timeline
+            .after(CONNECT_TIMEOUT, Event::ConnectTimeout(call));
+        self.timeline
+            .after(ANSWER_TIMEOUT, Event::AnswerTimeout(call));
+        self.send(call, Leg::Open, CONNECT_BYTES);
         call
     }
 
-    /// Notes that a piece of an answer has come.
-    pub fn note_piece(&mut self, transfer: usize) {
-        let (call, leg) = self.network.part_of(transfer);
+    /// Records that a part of an answer has arrived.
+    pub fn record_progress(&mut self, transfer: usize) {
+        let (call, leg) = self.network.find_call(transfer);
         if leg == Leg::Answer {
-            self.calls[call].progress = self.timeline.now();
+            self.calls[call].last_progress = self.timeline.now();
         }
     }
 
-    /// Gives a call up if nothing has come of its answer for too long.
-    pub fn look_for_answer(&mut self, number: usize) {
-        let due = self.calls[number].progress + ANSWERING;
+    /// Fails a call if no part of its answer has arrived within the timeout.
+    pub fn check_answer_timeout(&mut self, number: usize) {
+        let due = self.calls[number].last_progress + ANSWER_TIMEOUT;
         if due > self.timeline.now() {
-            self.timeline.at(due, Event::AnswerDue(number));
+            self.timeline.at(due, Event::AnswerTimeout(number));
         } else {
-            self.give_up(number);
+            self.fail_call(number);
         }
     }
 
-    /// Ends a call whose answer is no longer wanted.
+    /// Cancels a call whose answer is no longer needed.
     pub fn cancel(&mut self, number: usize) {
         let call = &mut self.calls[number];
-        call.ended = true;
+        call.is_ended = true;
         let ends = [call.from, call.to];
         self.network.abandon(number, ends);
     }
 
     pub fn send(&mut self, call: usize, leg: Leg, bytes: usize) {
-        let (asking, asked) = (self.calls[call].from, self.calls[call].to);
+        let (origin, target) = (self.calls[call].from, self.calls[call].to);
         let (from, to) = match leg {
-            Leg::Open | Leg::Question => (asking, asked),
-            Leg::Opened | Leg::Answer => (asked, asking),
+            Leg::Open | Leg::Request => (origin, target),
+            Leg::Opened | Leg::Answer => (target, origin),
         };
         let transfer = Transfer {
             call,
@@ -81,39 +83,41 @@
         self.network.send(&mut self.timeline, transfer);
     }
 
-    pub fn take_leg(&mut self, transfer: &Transfer) {
+    pub fn handle_leg(&mut self, transfer: &Transfer) {
         let number = transfer.call;
         let call = &mut self.calls[number];
-        if call.ended || self.nodes[call.from].is_dark() {
+        if call.is_ended || self.nodes[call.from].is_down() {
             return;
         }
         match transfer.leg {
-            Leg::Open if self.nodes[call.to].dark == Some(Dark::Unreachable) => {}
-            // A mute node's link carries nothing of a table; its system still opens connections.
-            Leg::Open if self.nodes[call.to].is_dark() => call.opened = true,
-            Leg::Open => self.send(number, Leg::Opened, OPENING_BYTES),
+            Leg::Open if self.nodes[call.to].outage == Some(Outage::Unreachable) => {}
+            // The operating system of an unresponsive node still accepts connections.
+            Leg::Open if self.nodes[call.to].is_down() => call.is_connected = true,
+            Leg::Open => self.send(number, Leg::Opened, CONNECT_BYTES),
             Leg::Opened => {
-                call.opened = true;
-                call.progress = self.timeline.now();
-                let bytes = question_bytes(call);
-                self.send(number, Leg::Question, bytes);
+                call.is_connected = true;
+                call.last_progress = self.timeline.now();
+                let bytes = count_request_bytes(call);
+                self.send(number, Leg::Request, bytes);
             }
-            Leg::Question => self.timeline.after(WORK, Event::Handled(number)),
-            Leg::Answer => self.take_answer(number),
+            Leg::Request => self
+                .timeline
+                .after(CPU_TIME_PER_MESSAGE, Event::RequestHandled(number)),
+            Leg::Answer => self.handle_answer(number),
         }
     }
 
-    /// The node that was called has taken in the message, and answers.
+    /// The called node applies the message and answers.
     pub fn answer(&mut self, number: usize) {
         let to = self.calls[number].to;
-        if self.nodes[to].is_dark() {
+        if self.nodes[to].is_down() {
             return;
         }
         let mut bytes = 0;
         match self.calls[number].purpose.clone() {
             Purpose::Offer(message, forward_to) => {
                 let (Some(version), Some(from)) = (message.offered_version, message.sender) else {
-                    unreachable!("an offer tells version and node");
+                    unreachable!("an offer has a version and a sender");
                 };
                 self.accept_offer(
                     to,
@@ -123,7 +127,7 @@
                         forward_to,
                     },
                 );
-                bytes = self.told_bytes(to);
+                bytes = self.count_version_answer_bytes(to);
             }
             Purpose::DirectOffer(version) => {
                 let from = address(self.calls[number].from);
@@ -136,91 +140,93 @@
                         forward_to,
                     },
                 );
-                bytes = self.told_bytes(to);
-                self.calls[number].answer = Some((self.nodes[to].own, 0));
+                bytes = self.count_version_answer_bytes(to);
+                self.calls[number].answer = Some((self.nodes[to].own_version, 0));
             }
-            Purpose::Fetch(wanted) => {
-                let has = self.nodes[to].own;
-                if let Some(size) = self.tables.size_of_change(wanted, has) {
+            Purpose::Fetch(known_version) => {
+                let version_there = self.nodes[to].own_version;
+                if let Some(size) = self.tables.size_of_change(known_version, version_there) {
                     bytes = size;
-                    self.calls[number].answer = Some((has, size));
+                    self.calls[number].answer = Some((version_there, size));
                 }
             }
         }
         self.send(number, Leg::Answer, HEAD_BYTES + bytes);
     }
 
-    /// Bytes of the answer to an offer: the version that the node has.
-    fn told_bytes(&self, node: usize) -> usize {
-        let told = StateMessage {
-            offered_version: Some(self.nodes[node].own),
+    /// Bytes of the answer to an offer, which holds the version of the answering node.
+    fn count_version_answer_bytes(&self, node: usize) -> usize {
+        let answer_message = StateMessage {
+            offered_version: Some(self.nodes[node].own_version),
             ..StateMessage::default()
         };
-        serde_json::to_vec(&told).map_or(0, |body| body.len())
+        serde_json::to_vec(&answer_message).map_or(0, |body| body.len())
     }
 
-    pub fn take_answer(&mut self, number: usize) {
+    pub fn handle_answer(&mut self, number: usize) {
         let call = &mut self.calls[number];
-        call.ended = true;
-        if let (Purpose::DirectOffer(_), Some((has, _))) = (&call.purpose, call.answer) {
-            self.nodes[call.from].known.insert(call.to, has);
+        call.is_ended = true;
+        if let (Purpose::DirectOffer(_), Some((version_there, _))) = (&call.purpose, call.answer) {
+            self.nodes[call.from]
+                .known_versions
+                .insert(call.to, version_there);
         }
         if let Purpose::Fetch(_) = call.purpose {
-            if self.nodes[call.from].asks_heard == Some(number) {
-                self.nodes[call.from].asks_heard = None;
+            if self.nodes[call.from].reported_fetch == Some(number) {
+                self.nodes[call.from].reported_fetch = None;
             }
             let bytes = call.answer.map_or(0, |(_, bytes)| bytes);
             let bytes = u32::try_from(bytes).unwrap_or(u32::MAX);
-            let work = WORK + WORK_PER_BYTE * bytes;
-            self.timeline.after(work, Event::Fetched(number));
+            let work = CPU_TIME_PER_MESSAGE + CPU_TIME_PER_TABLE_BYTE * bytes;
+            self.timeline.after(work, Event::AnswerApplied(number));
         }
     }
 
-    pub fn take_fetched(&mut self, number: usize) {
+    pub fn apply_fetched(&mut self, number: usize) {
         let (node, answer) = (self.calls[number].from, self.calls[number].answer);
-        if self.nodes[node].is_dark() {
+        if self.nodes[node].is_down() {
             return;
         }
         if let Some((version, _)) = answer {
             self.nodes[node].copies += 1;
-            let (own, call) = (self.nodes[node].own, &self.calls[number]);
+            let (own_version, call) = (self.nodes[node].own_version, &self.calls[number]);
             let Purpose::Fetch(base) = call.purpose else {
-                unreachable!("only a question brings a table");
+                unreachable!("only a fetch returns a table");
             };
-            if version > own && base != own {
-                if !call.is_again {
-                    let again = self.call(node, call.to, Purpose::Fetch(own));
-                    self.calls[again].is_again = true;
+            if version > own_version && base != own_version {
+                if !call.is_second_fetch {
+                    let second_call = self.call(node, call.to, Purpose::Fetch(own_version));
+                    self.calls[second_call].is_second_fetch = true;
                     return;
                 }
             } else if self.apply_table(node, version) {
-                self.look_at_zone(node, false);
+                self.offer_to_zone(node, false);
             }
         }
-        self.fetch_on(node);
+        self.continue_fetching(node);
     }
 
-    pub fn give_up(&mut self, number: usize) {
+    pub fn fail_call(&mut self, number: usize) {
         let call = &mut self.calls[number];
-        if call.ended || self.nodes[call.from].is_dark() {
+        if call.is_ended || self.nodes[call.from].is_down() {
             return;
         }
-        call.ended = true;
+        call.is_ended = true;
         let (from, to, purpose) = (call.from, call.to, call.purpose.clone());
         self.network.abandon(number, [from, to]);
         match purpose {
-            Purpose::Offer(message, rest) => self.send_to_first(from, *message, rest),
+            Purpose::Offer(message, rest) => self.send_to_any(from, *message, rest),
             Purpose::DirectOffer(_) => {}
             Purpose::Fetch(_) => {
-                self.nodes[from].asks_heard = None;
+                self.nodes[from].reported_fetch = None;
                 self.nodes[from].failed += 1;
-                self.fetch_on(from);
+                self.continue_fetching(from);
             }
         }
     }
 }
 
-fn question_bytes(call: &Call) -> usize {
+fn count_request_bytes(call: &Call) -> usize {
     let message = match &call.purpose {
         Purpose::Offer(message, _) => (**message).clone(),
         Purpose::DirectOffer(version) => StateMessage {
@@ -228,8 +234,8 @@
             sender: Some(address(call.from)),
             ..StateMessage::default()
         },
-        Purpose::Fetch(own) => StateMessage {
-            changes_since: Some(*own),
+        Purpose::Fetch(own_version) => StateMessage {
+            changes_since: Some(*own_version),
             sender: Some(address(call.from)),
             ..StateMessage::default()
         },
--- a/tests/integration/table_spreading/mesh.rs
+++ b/tests/integration/table_spreading/mesh.rs
@@ -1,8 +1,9 @@
-//! Nodes of a modelled mesh that tell each other a new routing table.
+//! A simulated mesh whose nodes distribute a new routing table.
 //!
-//! Who is offered a version, asked for it and told of it next is decided by the code of the node; the glue between these
-//! decisions, which in a node needs sockets, is written out here as `src/proxy/table_fetching.rs`,
-//! `src/proxy/table_offering.rs` and `src/proxy/state_messages.rs` have it. Sizes are those of the messages that a node would send.
+//! The code of the node decides which nodes a version is offered to, from which node it is fetched and to which nodes the offer
+//! is forwarded. The steps between these decisions need sockets in a node; here they are written out after
+//! `src/proxy/table_fetching.rs`, `src/proxy/table_offering.rs` and `src/proxy/state_messages.rs`. Messages have the sizes that
+//! a node would send.
 
 use super::{
     network::{Network, NetworkEvent, Timeline},
@@ -20,8 +21,8 @@
 use rand::{RngExt, SeedableRng, rngs::StdRng, seq::SliceRandom};
 use std::{collections::HashMap, net::SocketAddr, rc::Rc, time::Duration};
 
-/// Links that nodes have, in bits a second.
-const LINKS: [u64; 6] = [
+/// Rates of the nodes' links, in bits per second.
+const LINK_RATES: [u64; 6] = [
     10_000_000,
     20_000_000,
     40_000_000,
@@ -29,52 +30,52 @@
     140_000_000,
     200_000_000,
 ];
-/// The readers of a zone get a version within this after its first reader could have had it.
-const READ_SPREAD: Duration = Duration::from_millis(300);
-/// Longest time from a reader's offer to its loss; the offer itself gets through in a few milliseconds.
-const LOSS_WITHIN: Duration = Duration::from_millis(40);
+/// Longest time from the publication of a version until a reader gets it.
+const READ_WINDOW: Duration = Duration::from_millis(300);
+/// Longest time from the offer of a reader to its loss. The offer itself arrives within a few milliseconds.
+const LOSS_WINDOW: Duration = Duration::from_millis(40);
 
-/// How often a node looks whether the one after it has the version in force, as in a node.
-const LOOK_PAUSE: Duration = Duration::from_millis(500);
-/// Sets the draws for rounds of offers apart from all others.
-const ROUND_SEED: u64 = 1 << 32;
+/// Interval at which a node checks whether its successor has the version in force, the same as in a node.
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
+/// Changes the seed for the random numbers of offer rounds, so that they are independent of all others.
+const OFFER_ROUND_SEED: u64 = 1 << 32;
 
-/// How a node is dark.
+/// Kinds of failure of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Dark {
-    /// Connections to it don't open.
+pub enum Outage {
+    /// Connections to the node can't be opened.
     Unreachable,
-    /// It takes questions and doesn't answer.
-    Mute,
+    /// The node accepts connections and does not answer.
+    Unresponsive,
 }
 
-/// What is played.
+/// Parameters of a simulation.
 #[derive(Clone, Copy, Debug)]
 pub struct Plan {
     pub nodes: usize,
     pub zones: usize,
     pub seed: u64,
-    /// One in so many nodes that don't read is dark from the start; 0 for none.
-    pub dark_one_in: usize,
-    /// The first reader of each zone is lost right after it offered the newest version.
+    /// One in this many nodes that are not readers is down from the start; 0 for none.
+    pub down_one_in: usize,
+    /// Whether the first reader of each zone is lost right after it has offered the newest version.
     pub loses_readers: bool,
-    /// Pause between the requests that a node sends to others, whose answers tell versions; none in a quiet mesh.
+    /// Pause between the requests that a node sends to others, whose answers report versions; none in a mesh without requests.
     pub request_pause: Option<Duration>,
 }
 
 #[derive(Clone, Copy, Debug)]
 pub enum Event {
     Network(NetworkEvent),
-    OpeningDue(usize),
-    AnswerDue(usize),
-    Handled(usize),
-    Fetched(usize),
-    Look(usize, Timestamp),
-    LookAtZone(usize, Timestamp),
+    ConnectTimeout(usize),
+    AnswerTimeout(usize),
+    RequestHandled(usize),
+    AnswerApplied(usize),
+    FetchWaitEnded(usize, Timestamp),
+    CheckZone(usize, Timestamp),
     Read(usize, ConfigurationVersion),
-    Lost(usize),
+    ReaderLost(usize),
     Request(usize),
-    Heard(usize, usize, ConfigurationVersion),
+    Report(usize, usize, ConfigurationVersion),
 }
 
 impl From<NetworkEvent> for Event {
@@ -85,11 +86,11 @@
 
 #[derive(Clone, Debug)]
 pub enum Purpose {
-    /// An offer, and who is told in place of the receiver if that fails.
+    /// An offer, and the nodes that it is sent to instead if the receiver can't be reached.
     Offer(Box<StateMessage>, Vec<SocketAddr>),
-    /// An offer of this version that is not passed on.
+    /// An offer of this version that is not forwarded.
     DirectOffer(ConfigurationVersion),
-    /// A question for what is newer than this version.
+    /// A request for the changes since this version.
     Fetch(ConfigurationVersion),
 }
 
@@ -98,47 +99,48 @@
     pub from: usize,
     pub to: usize,
     pub purpose: Purpose,
-    pub opened: bool,
-    pub ended: bool,
-    /// When it was begun, its question sent, or a piece of its answer received: the latest.
-    pub progress: Timestamp,
-    /// A question put again, as the answer to the first changes another version than that in force.
-    pub is_again: bool,
-    /// The version that the answer leads to or tells, and the bytes of the change.
+    pub is_connected: bool,
+    pub is_ended: bool,
+    /// Latest of the times at which the call started, its connection was opened and a part of its answer arrived.
+    pub last_progress: Timestamp,
+    /// Whether this call repeats a fetch because another version came into force before the first answer arrived.
+    pub is_second_fetch: bool,
+    /// The version that results from the answer or that it reports, and the bytes of the change.
     pub answer: Option<(ConfigurationVersion, usize)>,
 }
 
 #[derive(Debug)]
 pub struct Node {
     pub is_reader: bool,
-    pub dark: Option<Dark>,
+    pub outage: Option<Outage>,
     pub sources: TableSources,
-    pub fetching: bool,
-    pub waits_until: Option<Timestamp>,
-    /// The question to a node that was heard of by a request, which an offer ends.
-    pub asks_heard: Option<usize>,
-    pub rounds: OfferRounds,
-    /// When it looks at its zone next.
-    pub looks_at: Timestamp,
-    pub known: HashMap<usize, ConfigurationVersion>,
-    pub own: ConfigurationVersion,
-    /// When each version came to be in force, with all older ones.
+    pub is_fetching: bool,
+    pub wait_until: Option<Timestamp>,
+    /// The fetch from a node that reported its version on a request; an offer cancels it.
+    pub reported_fetch: Option<usize>,
+    pub offer_rounds: OfferRounds,
+    /// Time of the next check of the zone.
+    pub next_check: Timestamp,
+    pub known_versions: HashMap<usize, ConfigurationVersion>,
+    pub own_version: ConfigurationVersion,
+    /// Versions with the times at which they came into force, in this order.
     pub in_force: Vec<(Timestamp, ConfigurationVersion)>,
-    /// Answers with a table, and questions that failed.
+    /// Number of answers with a table.
     pub copies: usize,
+    /// Number of fetches that failed.
     pub failed: usize,
 }
 
 impl Node {
-    pub const fn is_dark(&self) -> bool {
-        self.dark.is_some()
+    pub const fn is_down(&self) -> bool {
+        self.outage.is_some()
     }
 
-    /// When a version or a newer one came to be in force.
+    /// Time at which a version or a newer one came into force.
     pub fn had(&self, version: ConfigurationVersion) -> Option<Timestamp> {
-        let mut taken = self.in_force.iter();
-        taken
-            .find(|(_, taken)| *taken >= version)
+        let mut versions = self.in_force.iter();
+        versions
+            .find(|(_, versions)| *versions >= version)
             .map(|(at, _)| *at)
     }
 }
@@ -165,17 +167,17 @@
             let [.., high, low] = ip.octets();
             usize::from(u16::from_be_bytes([high, low]))
         }
-        std::net::IpAddr::V6(_) => unreachable!("nodes have IPv4"),
+        std::net::IpAddr::V6(_) => unreachable!("nodes have IPv4 addresses"),
     }
 }
 
 impl Mesh {
-    /// A mesh where all have `own` in force.
-    pub fn new(plan: Plan, tables: &Rc<Tables>, own: ConfigurationVersion) -> Self {
+    /// A mesh in which all nodes have `own_version` in force.
+    pub fn new(plan: Plan, tables: &Rc<Tables>, own_version: ConfigurationVersion) -> Self {
         let mut mesh = Self {
             plan,
             random: StdRng::seed_from_u64(plan.seed),
-            round_random: StdRng::seed_from_u64(plan.seed ^ ROUND_SEED),
+            round_random: StdRng::seed_from_u64(plan.seed ^ OFFER_ROUND_SEED),
             tables: Rc::clone(tables),
             timeline: Timeline::default(),
             network: Network::default(),
@@ -183,7 +185,7 @@
             calls: Vec::new(),
         };
         for number in 0..plan.nodes {
-            mesh.add_node(number, own);
+            mesh.add_node(number, own_version);
         }
         for number in 0..plan.nodes {
             mesh.draw_role(number);
@@ -191,21 +193,23 @@
         mesh
     }
 
-    pub fn add_node(&mut self, number: usize, own: ConfigurationVersion) {
+    pub fn add_node(&mut self, number: usize, own_version: ConfigurationVersion) {
         let zone = number % self.plan.zones;
-        let rate = LINKS[self.random.random_range(0..LINKS.len())];
+        let rate = LINK_RATES[self.random.random_range(0..LINK_RATES.len())];
         self.network.add_link(zone, rate);
         self.nodes.push(Node {
             is_reader: false,
-            dark: None,
+            outage: None,
             sources: TableSources::default(),
-            fetching: false,
-            waits_until: None,
-            asks_heard: None,
-            rounds: OfferRounds::default(),
-            looks_at: Timestamp(0),
-            known: (0..self.plan.nodes).map(|other| (other, own)).collect(),
-            own,
+            is_fetching: false,
+            wait_until: None,
+            reported_fetch: None,
+            offer_rounds: OfferRounds::default(),
+            next_check: Timestamp(0),
+            known_versions: (0..self.plan.nodes)
+                .map(|other| (other, own_version))
+                .collect(),
+            own_version,
             in_force: Vec::new(),
             copies: 0,
             failed: 0,
@@ -216,41 +220,41 @@
         let zone = self.list_zone(number);
         let reads = is_reader(address(number), zone.into_iter());
         self.nodes[number].is_reader = reads;
-        let first = LOOK_PAUSE.mul_f64(self.round_random.random_range(0.0..1.0));
-        self.plan_look(number, first);
-        let one_in = self.plan.dark_one_in;
+        let first = CHECK_INTERVAL.mul_f64(self.round_random.random_range(0.0..1.0));
+        self.schedule_check(number, first);
+        let one_in = self.plan.down_one_in;
         if one_in > 0 && !reads && self.random.random_range(0..one_in) == 0 {
             let reachable = self.random.random_bool(0.5);
-            let dark = if reachable {
-                Dark::Mute
+            let outage = if reachable {
+                Outage::Unresponsive
             } else {
-                Dark::Unreachable
+                Outage::Unreachable
             };
-            self.darken(number, dark);
+            self.fail_node(number, outage);
         } else if let Some(pause) = self.plan.request_pause {
             let first = pause.mul_f64(self.random.random_range(0.0..1.0));
             self.timeline.after(first, Event::Request(number));
         }
     }
 
-    pub fn darken(&mut self, number: usize, dark: Dark) {
-        self.nodes[number].dark = Some(dark);
-        self.network.cut(number);
+    pub fn fail_node(&mut self, number: usize, outage: Outage) {
+        self.nodes[number].outage = Some(outage);
+        self.network.disconnect(number);
     }
 
-    /// The other nodes of the zone; that some are dark has not been noticed.
+    /// The other nodes of the zone, including those that are down, which the node does not know.
     pub fn list_zone(&self, number: usize) -> Vec<SocketAddr> {
         let zone = number % self.plan.zones;
         let all = (0..self.plan.nodes).filter(|other| other % self.plan.zones == zone);
         all.filter(|other| *other != number).map(address).collect()
     }
 
-    /// The store has a version from a moment on.
+    /// Publishes a version in the store at a point in time.
     pub fn publish(&mut self, version: ConfigurationVersion, at: Timestamp) {
         for number in 0..self.nodes.len() {
             if self.nodes[number].is_reader {
-                let late = READ_SPREAD.mul_f64(self.random.random_range(0.0..1.0));
-                self.timeline.at(at + late, Event::Read(number, version));
+                let delay = READ_WINDOW.mul_f64(self.random.random_range(0.0..1.0));
+                self.timeline.at(at + delay, Event::Read(number, version));
             }
         }
     }
@@ -264,68 +268,74 @@
     pub fn take(&mut self, event: Event) {
         match event {
             Event::Network(event) => {
-                if let NetworkEvent::Received(transfer, _) = event {
-                    self.note_piece(transfer);
+                if let NetworkEvent::SegmentReceived(transfer, _) = event {
+                    self.record_progress(transfer);
                 }
-                if let Some(transfer) = self.network.go_on(&mut self.timeline, event) {
-                    self.take_leg(&transfer);
+                if let Some(transfer) = self.network.handle_event(&mut self.timeline, event) {
+                    self.handle_leg(&transfer);
                 }
             }
-            Event::OpeningDue(call) if self.calls[call].opened => {}
-            Event::OpeningDue(call) => self.give_up(call),
-            Event::AnswerDue(call) => self.look_for_answer(call),
-            Event::Handled(call) => self.answer(call),
-            Event::Fetched(call) => self.take_fetched(call),
-            Event::Look(node, until) => {
-                if self.nodes[node].waits_until == Some(until) {
-                    self.fetch_on(node);
+            Event::ConnectTimeout(call) if self.calls[call].is_connected => {}
+            Event::ConnectTimeout(call) => self.fail_call(call),
+            Event::AnswerTimeout(call) => self.check_answer_timeout(call),
+            Event::RequestHandled(call) => self.answer(call),
+            Event::AnswerApplied(call) => self.apply_fetched(call),
+            Event::FetchWaitEnded(node, until) => {
+                if self.nodes[node].wait_until == Some(until) {
+                    self.continue_fetching(node);
                 }
             }
-            Event::LookAtZone(node, due) => {
-                if self.nodes[node].looks_at == due {
+            Event::CheckZone(node, due) => {
+                if self.nodes[node].next_check == due {
                     self.check_successors(node);
-                    self.look_at_zone(node, false);
+                    self.offer_to_zone(node, false);
                 }
             }
             Event::Read(node, version) => self.read(node, version),
-            Event::Lost(node) => self.darken(node, Dark::Unreachable),
+            Event::ReaderLost(node) => self.fail_node(node, Outage::Unreachable),
             Event::Request(node) => self.request(node),
-            Event::Heard(node, from, version) => self.note_peer_version(node, from, version),
+            Event::Report(node, from, version) => self.record_peer_version(node, from, version),
         }
     }
 
     pub fn apply_table(&mut self, node: usize, version: ConfigurationVersion) -> bool {
         let now = self.timeline.now();
         let node = &mut self.nodes[node];
-        if version <= node.own {
+        if version <= node.own_version {
             return false;
         }
-        node.own = version;
+        node.own_version = version;
         node.in_force.push((now, version));
         true
     }
 
-    fn plan_look(&mut self, node: usize, pause: Duration) {
+    fn schedule_check(&mut self, node: usize, pause: Duration) {
         let due = self.timeline.now() + pause;
-        self.nodes[node].looks_at = due;
-        self.timeline.at(due, Event::LookAtZone(node, due));
+        self.nodes[node].next_check = due;
+        self.timeline.at(due, Event::CheckZone(node, due));
     }
 
-    /// A reader offers the version in force along the tree to those of its zone that aren't known to have it.
-    pub fn look_at_zone(&mut self, node: usize, has_read: bool) {
-        if self.nodes[node].is_dark() {
+    /// A reader offers the version in force along the tree to the nodes of its zone that are not known to have it.
+    pub fn offer_to_zone(&mut self, node: usize, has_read: bool) {
+        if self.nodes[node].is_down() {
             return;
         }
-        self.plan_look(node, LOOK_PAUSE);
+        self.schedule_check(node, CHECK_INTERVAL);
         if !self.nodes[node].is_reader {
             return;
         }
-        let own = self.nodes[node].own;
+        let own_version = self.nodes[node].own_version;
         let mut zone = self.list_zone(node);
-        let known = &self.nodes[node].known;
-        zone.retain(|to| known.get(&node_at(*to)).is_none_or(|has| *has < own));
-        let mut receivers = self.nodes[node].rounds.plan_tree(own, zone.into_iter());
-        // Reads draw as if there were no other rounds, so that a seed stands for the same losses with and without them.
+        let known_versions = &self.nodes[node].known_versions;
+        zone.retain(|to| {
+            known_versions
+                .get(&node_at(*to))
+                .is_none_or(|version_there| *version_there < own_version)
+        });
+        let mut receivers = self.nodes[node]
+            .offer_rounds
+            .plan_tree(own_version, zone.into_iter());
+        // Reads use their own random numbers, so that a seed leads to the same losses whatever the other rounds draw.
         receivers.shuffle(if has_read {
             &mut self.random
         } else {
@@ -334,60 +344,67 @@
         self.offer(node, &receivers);
     }
 
-    /// A node asks the ones after it in the ring of its zone that aren't known to have the version in force, as is due.
+    /// A node offers the version in force directly to its successors in the ring of the zone that are not known to have it.
     pub fn check_successors(&mut self, node: usize) {
-        if self.nodes[node].is_dark() {
+        if self.nodes[node].is_down() {
             return;
         }
-        let (now, own) = (self.timeline.now(), self.nodes[node].own);
+        let (now, own_version) = (self.timeline.now(), self.nodes[node].own_version);
         let ring = order_ring(address(node), self.list_zone(node).into_iter());
-        let known = &self.nodes[node].known;
+        let known_versions = &self.nodes[node].known_versions;
         let ring = ring.into_iter().map(|address| RingNode {
             address,
-            has_version: known.get(&node_at(address)).is_some_and(|has| *has >= own),
+            has_version: known_versions
+                .get(&node_at(address))
+                .is_some_and(|version_there| *version_there >= own_version),
         });
         let ring: Vec<RingNode> = ring.collect();
-        for to in self.nodes[node].rounds.plan_checks(own, &ring, now) {
-            self.call(node, node_at(to), Purpose::DirectOffer(own));
+        for to in self.nodes[node]
+            .offer_rounds
+            .plan_checks(own_version, &ring, now)
+        {
+            self.call(node, node_at(to), Purpose::DirectOffer(own_version));
         }
     }
 
-    /// A reader reads a version and offers it to those of its zone that may lack it.
+    /// A reader reads a version and offers it to the nodes of its zone that may lack it.
     pub fn read(&mut self, node: usize, version: ConfigurationVersion) {
-        if self.nodes[node].is_dark() || !self.apply_table(node, version) {
+        if self.nodes[node].is_down() || !self.apply_table(node, version) {
             return;
         }
-        self.look_at_zone(node, true);
+        self.offer_to_zone(node, true);
         let zone = self.list_zone(node);
         let mut readers = zone.iter().map(|other| &self.nodes[node_at(*other)]);
-        let is_first = readers.all(|other| !other.is_reader || other.own < version);
+        let is_first = readers.all(|other| !other.is_reader || other.own_version < version);
         if self.plan.loses_readers && version == self.tables.newest() && is_first {
-            let late = LOSS_WITHIN.mul_f64(self.random.random_range(0.1..1.0));
-            self.timeline.after(late, Event::Lost(node));
+            let delay = LOSS_WINDOW.mul_f64(self.random.random_range(0.1..1.0));
+            self.timeline.after(delay, Event::ReaderLost(node));
         }
     }
 
-    /// A request to another node, twice in three times of the own zone; each learns the version of the other.
+    /// Sends a request to another node, in two of three cases in the same zone. Each of the two nodes learns the version of the other.
     pub fn request(&mut self, node: usize) {
         let Some(pause) = self.plan.request_pause else {
             return;
         };
-        if self.nodes[node].is_dark() {
+        if self.nodes[node].is_down() {
             return;
         }
-        let spread = self.random.random_range(0.5..1.5);
+        let jitter = self.random.random_range(0.5..1.5);
         self.timeline
-            .after(pause.mul_f64(spread), Event::Request(node));
+            .after(pause.mul_f64(jitter), Event::Request(node));
         let mut to = self.random.random_range(0..self.plan.nodes);
         if self.random.random_range(0..3) > 0 {
             to = to - to % self.plan.zones + node % self.plan.zones;
         }
-        if to >= self.plan.nodes || to == node || self.nodes[to].is_dark() {
+        if to >= self.plan.nodes || to == node || self.nodes[to].is_down() {
             return;
         }
-        let way = self.network.delay(node, to);
-        let (own, others) = (self.nodes[node].own, self.nodes[to].own);
-        self.timeline.after(way, Event::Heard(to, node, own));
-        self.timeline.after(way * 2, Event::Heard(node, to, others));
+        let delay = self.network.delay(node, to);
+        let (own_version, others) = (self.nodes[node].own_version, self.nodes[to].own_version);
+        self.timeline
+            .after(delay, Event::Report(to, node, own_version));
+        self.timeline
+            .after(delay * 2, Event::Report(node, to, others));
     }
 }
--- a/tests/integration/table_spreading/network.rs
+++ b/tests/integration/table_spreading/network.rs
@@ -1,7 +1,7 @@
-//! Links of a modelled mesh, in virtual time.
+//! Links of a simulated mesh, in virtual time.
 //!
-//! Each node has one link, full duplex. What a node sends leaves in segments, those of several transfers in turn; at
-//! the receiver's link the segments stand in line in the order of their coming.
+//! Each node has one full-duplex link. A node sends in segments, and alternates between the segments of concurrent transfers. At
+//! the link of the receiver, segments are queued in the order of arrival.
 
 use camphorturn::state::timestamp::Timestamp;
 use std::{
@@ -9,18 +9,18 @@
     time::Duration,
 };
 
-/// Bytes that a link carries of one transfer before it is the turn of the next.
-const SEGMENT: usize = 8 * 1024;
-/// Way between two nodes of a zone.
-const DELAY_WITHIN: Duration = Duration::from_micros(250);
-/// Way between nodes of two zones.
-const DELAY_BETWEEN: Duration = Duration::from_millis(1);
+/// Bytes that a link sends of one transfer before it continues with the next.
+const SEGMENT_BYTES: usize = 8 * 1024;
+/// One-way delay between two nodes of a zone.
+const DELAY_WITHIN_ZONE: Duration = Duration::from_micros(250);
+/// One-way delay between nodes of two zones.
+const DELAY_BETWEEN_ZONES: Duration = Duration::from_millis(1);
 
-/// What is due when.
+/// Events in the order of virtual time; events of the same time are in the order in which they were added.
 #[derive(Debug)]
 pub struct Timeline<E> {
     now: Timestamp,
-    numbers: u64,
+    last_number: u64,
     due: BTreeMap<(Timestamp, u64), E>,
 }
 
@@ -28,7 +28,7 @@
     fn default() -> Self {
         Self {
             now: Timestamp(0),
-            numbers: 0,
+            last_number: 0,
             due: BTreeMap::new(),
         }
     }
@@ -40,15 +40,15 @@
     }
 
     pub fn at(&mut self, timestamp: Timestamp, event: E) {
-        self.numbers += 1;
-        self.due.insert((timestamp, self.numbers), event);
+        self.last_number += 1;
+        self.due.insert((timestamp, self.last_number), event);
     }
 
     pub fn after(&mut self, pause: Duration, event: E) {
         self.at(self.now + pause, event);
     }
 
-    /// The next event up to a moment; time goes on to it.
+    /// Removes the next event that is due up to `end`, and advances the time to it.
     pub fn next_until(&mut self, end: Timestamp) -> Option<E> {
         let first = self.due.first_entry()?;
         let (timestamp, _) = *first.key();
@@ -60,12 +60,12 @@
     }
 }
 
-/// A part of a call from node to node.
+/// One direction of one step of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Leg {
     Open,
     Opened,
-    Question,
+    Request,
     Answer,
 }
 
@@ -80,35 +80,35 @@
 
 #[derive(Clone, Copy, Debug)]
 pub enum NetworkEvent {
-    /// The link of a node is free for the next segment.
-    Free(usize),
-    /// A segment of a transfer has come to the receiver's link.
-    Come(usize, usize),
-    /// The receiver has a segment of a transfer.
-    Received(usize, usize),
+    /// The link of a node has sent a segment and is free for the next.
+    LinkFree(usize),
+    /// A segment of a transfer has arrived at the receiver's link. Holds the transfer and the bytes.
+    SegmentArrived(usize, usize),
+    /// The receiver has read a segment of a transfer. Holds the transfer and the bytes.
+    SegmentReceived(usize, usize),
 }
 
 #[derive(Debug)]
-struct UnderWay {
+struct ActiveTransfer {
     transfer: Transfer,
-    unsent: usize,
-    missing: usize,
+    unsent_bytes: usize,
+    unreceived_bytes: usize,
 }
 
 #[derive(Debug)]
 struct Link {
     zone: usize,
     bits_per_second: u64,
-    leaving: VecDeque<usize>,
+    outbound: VecDeque<usize>,
     is_sending: bool,
-    incoming_free: Timestamp,
-    is_cut: bool,
+    inbound_free_at: Timestamp,
+    is_disconnected: bool,
     bytes_in: usize,
     bytes_out: usize,
 }
 
 impl Link {
-    fn time_for(&self, bytes: usize) -> Duration {
+    fn transmission_time(&self, bytes: usize) -> Duration {
         let micros = bytes as u64 * 8 * 1_000_000 / self.bits_per_second;
         Duration::from_micros(micros)
     }
@@ -117,7 +117,7 @@
 #[derive(Debug, Default)]
 pub struct Network {
     links: Vec<Link>,
-    transfers: Vec<UnderWay>,
+    transfers: Vec<ActiveTransfer>,
 }
 
 impl Network {
@@ -125,10 +125,10 @@
         self.links.push(Link {
             zone,
             bits_per_second,
-            leaving: VecDeque::new(),
+            outbound: VecDeque::new(),
             is_sending: false,
-            incoming_free: Timestamp(0),
-            is_cut: false,
+            inbound_free_at: Timestamp(0),
+            is_disconnected: false,
             bytes_in: 0,
             bytes_out: 0,
         });
@@ -136,30 +136,30 @@
 
     pub fn delay(&self, from: usize, to: usize) -> Duration {
         if self.links[from].zone == self.links[to].zone {
-            DELAY_WITHIN
+            DELAY_WITHIN_ZONE
         } else {
-            DELAY_BETWEEN
+            DELAY_BETWEEN_ZONES
         }
     }
 
-    /// The call of a transfer, and which part of it that is.
-    pub fn part_of(&self, transfer: usize) -> (usize, Leg) {
+    /// The call that a transfer belongs to, and its leg.
+    pub fn find_call(&self, transfer: usize) -> (usize, Leg) {
         let transfer = &self.transfers[transfer].transfer;
         (transfer.call, transfer.leg)
     }
 
-    /// Nothing leaves a node any more.
-    pub fn cut(&mut self, node: usize) {
-        self.links[node].is_cut = true;
-        self.links[node].leaving.clear();
+    /// Disconnects a node: it sends nothing any more.
+    pub fn disconnect(&mut self, node: usize) {
+        self.links[node].is_disconnected = true;
+        self.links[node].outbound.clear();
     }
 
-    /// Gives up what is not sent yet of a call.
+    /// Drops the segments of a call that are not sent yet.
     pub fn abandon(&mut self, call: usize, ends: [usize; 2]) {
         for end in ends {
             let transfers = &self.transfers;
-            let of_others = |number: &usize| transfers[*number].transfer.call != call;
-            self.links[end].leaving.retain(of_others);
+            let is_of_other_call = |number: &usize| transfers[*number].transfer.call != call;
+            self.links[end].outbound.retain(is_of_other_call);
         }
     }
 
@@ -173,42 +173,42 @@
 
     pub fn send<E: From<NetworkEvent>>(&mut self, timeline: &mut Timeline<E>, transfer: Transfer) {
         let (number, from, bytes) = (self.transfers.len(), transfer.from, transfer.bytes);
-        self.transfers.push(UnderWay {
+        self.transfers.push(ActiveTransfer {
             transfer,
-            unsent: bytes,
-            missing: bytes,
+            unsent_bytes: bytes,
+            unreceived_bytes: bytes,
         });
         let link = &mut self.links[from];
-        if link.is_cut {
+        if link.is_disconnected {
             return;
         }
-        link.leaving.push_back(number);
+        link.outbound.push_back(number);
         if !link.is_sending {
             self.send_segment(timeline, from);
         }
     }
 
-    /// Goes on after an event; a transfer that is complete now.
-    pub fn go_on<E: From<NetworkEvent>>(
+    /// Handles an event. Returns the transfer that it completes, if any.
+    pub fn handle_event<E: From<NetworkEvent>>(
         &mut self,
         timeline: &mut Timeline<E>,
         event: NetworkEvent,
     ) -> Option<Transfer> {
         match event {
-            NetworkEvent::Free(node) => self.send_segment(timeline, node),
-            NetworkEvent::Come(number, bytes) => {
+            NetworkEvent::LinkFree(node) => self.send_segment(timeline, node),
+            NetworkEvent::SegmentArrived(number, bytes) => {
                 let link = &mut self.links[self.transfers[number].transfer.to];
-                let begin = link.incoming_free.max(timeline.now());
-                link.incoming_free = begin + link.time_for(bytes);
-                let received = NetworkEvent::Received(number, bytes);
-                timeline.at(link.incoming_free, received.into());
+                let start = link.inbound_free_at.max(timeline.now());
+                link.inbound_free_at = start + link.transmission_time(bytes);
+                let received = NetworkEvent::SegmentReceived(number, bytes);
+                timeline.at(link.inbound_free_at, received.into());
             }
-            NetworkEvent::Received(number, bytes) => {
-                let under_way = &mut self.transfers[number];
-                under_way.missing -= bytes;
-                self.links[under_way.transfer.to].bytes_in += bytes;
-                if under_way.missing == 0 {
-                    return Some(under_way.transfer.clone());
+            NetworkEvent::SegmentReceived(number, bytes) => {
+                let active = &mut self.transfers[number];
+                active.unreceived_bytes -= bytes;
+                self.links[active.transfer.to].bytes_in += bytes;
+                if active.unreceived_bytes == 0 {
+                    return Some(active.transfer.clone());
                 }
             }
         }
@@ -217,22 +217,22 @@
 
     fn send_segment<E: From<NetworkEvent>>(&mut self, timeline: &mut Timeline<E>, node: usize) {
         let link = &mut self.links[node];
-        let Some(number) = link.leaving.pop_front() else {
+        let Some(number) = link.outbound.pop_front() else {
             link.is_sending = false;
             return;
         };
         link.is_sending = true;
-        let under_way = &mut self.transfers[number];
-        let bytes = under_way.unsent.min(SEGMENT);
-        under_way.unsent -= bytes;
-        if under_way.unsent > 0 {
-            link.leaving.push_back(number);
+        let active = &mut self.transfers[number];
+        let bytes = active.unsent_bytes.min(SEGMENT_BYTES);
+        active.unsent_bytes -= bytes;
+        if active.unsent_bytes > 0 {
+            link.outbound.push_back(number);
         }
         link.bytes_out += bytes;
-        let sent = timeline.now() + link.time_for(bytes);
-        let to = under_way.transfer.to;
-        timeline.at(sent, NetworkEvent::Free(node).into());
-        let come = sent + self.delay(node, to);
-        timeline.at(come, NetworkEvent::Come(number, bytes).into());
+        let sent = timeline.now() + link.transmission_time(bytes);
+        let to = active.transfer.to;
+        timeline.at(sent, NetworkEvent::LinkFree(node).into());
+        let arrival = sent + self.delay(node, to);
+        timeline.at(arrival, NetworkEvent::SegmentArrived(number, bytes).into());
     }
 }
--- a/tests/integration/table_spreading/tables.rs
+++ b/tests/integration/table_spreading/tables.rs
@@ -1,4 +1,4 @@
-//! Routing tables of the modelled meshes, and the bytes of what nodes tell of them.
+//! Routing tables for the simulated meshes, and the sizes of the messages with their changes.
 
 use arcstr::ArcStr;
 use camphorturn::{
@@ -12,7 +12,7 @@
 };
 use std::{cell::RefCell, collections::HashMap, rc::Rc, time::Duration};
 
-/// A table of as many routes, spread evenly over as many services.
+/// Builds a table of `routes` routes that are spread evenly over `services` services.
 pub fn build_table(version: u64, routes: usize, services: usize) -> RoutingTable {
     let routes = (0..routes).map(|number| Rc::new(build_route(number, number % services)));
     RoutingTable {
@@ -52,7 +52,7 @@
     }
 }
 
-/// Bytes of the answer that tells what is newer than a version; none if nothing is.
+/// Bytes of the answer with the changes since a version; none if there are no changes.
 fn encode_change(history: &mut TableHistory, since: ConfigurationVersion) -> Option<usize> {
     let answer = StateMessage {
         change: Some(history.change_since(since)?),
@@ -62,18 +62,18 @@
         }),
         ..StateMessage::default()
     };
-    let body = serde_json::to_vec(&answer).expect("a message can be written");
+    let body = serde_json::to_vec(&answer).expect("a message can be encoded");
     Some(body.len())
 }
 
-/// The versions that are published in a modelled mesh.
+/// The versions that are published in a simulated mesh.
 pub struct Tables {
     versions: Vec<RoutingTable>,
     sizes: RefCell<HashMap<(u64, u64), Option<usize>>>,
 }
 
 impl Tables {
-    /// Versions from 1 on with these numbers of routes and services.
+    /// Versions from 1 on with the given numbers of routes and services.
     pub fn new(sizes: &[(usize, usize)]) -> Self {
         let versions = (1..).zip(sizes);
         let tables =
@@ -81,7 +81,7 @@
         Self::of(tables.collect())
     }
 
-    /// These versions, the oldest first.
+    /// The given versions, oldest first.
     pub fn of(versions: Vec<RoutingTable>) -> Self {
         Self {
             versions,
@@ -93,16 +93,20 @@
         self.versions.last().expect("a version").version
     }
 
-    /// Bytes of what a node that has a version tells one that has another.
+    /// Bytes of the answer of a node at version `has` to a node at version `since`; none if there are no changes.
     pub fn size_of_change(
         &self,
         since: ConfigurationVersion,
-        has: ConfigurationVersion,
+        version_there: ConfigurationVersion,
     ) -> Option<usize> {
         let mut sizes = self.sizes.borrow_mut();
-        *sizes.entry((since.0, has.0)).or_insert_with(|| {
+        *sizes.entry((since.0, version_there.0)).or_insert_with(|| {
             let mut history = TableHistory::default();
-            for table in self.versions.iter().filter(|table| table.version <= has) {
+            for table in self
+                .versions
+                .iter()
+                .filter(|table| table.version <= version_there)
+            {
                 history.replace_if_newer(table.clone());
             }
             encode_change(&mut history, since)
