--- a/src/proxy/table_fetching.rs
+++ b/src/proxy/table_fetching.rs
@@ -140,7 +140,7 @@
         });
         let since = match error {
             ChangeError::BaseMismatch(_) => core.directory.borrow().version(),
-            ChangeError::MissingTerms(_) | ChangeError::ChecksumMismatch => {
+            ChangeError::MissingSettings(_) | ChangeError::ChecksumMismatch => {
                 ConfigurationVersion::default()
             }
         };
--- a/src/state/configuration.rs
+++ b/src/state/configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration that operators publish: services, and classes of work with a target each.
+//! The configuration that operators publish: services, and classes of work with their target times.
 
 use crate::state::{
     names::{ClassName, ServiceName},
@@ -8,39 +8,39 @@
 use serde::{Deserialize, Serialize};
 use std::{collections::BTreeMap, rc::Rc, time::Duration};
 
-/// Path on which upstreams answer whether they are well, unless told otherwise.
-const HEALTH_PATH: ArcStr = arcstr::literal!("/health");
-/// Most upstreams that one request may be sent to, unless told otherwise.
-const MAX_ATTEMPTS: u16 = 2;
-/// Weight of a service among those of a class, unless told otherwise.
-const WEIGHT: u32 = 1;
+/// Default path of the health check of upstreams.
+const DEFAULT_HEALTH_PATH: ArcStr = arcstr::literal!("/health");
+/// Default maximum number of upstreams that one request may be sent to.
+const DEFAULT_MAX_ATTEMPTS: u16 = 2;
+/// Default weight of a service among those of a class.
+const DEFAULT_WEIGHT: u32 = 1;
 
 const fn default_max_attempts() -> u16 {
-    MAX_ATTEMPTS
+    DEFAULT_MAX_ATTEMPTS
 }
 
 const fn default_weight() -> u32 {
-    WEIGHT
+    DEFAULT_WEIGHT
 }
 
 const fn default_health_path() -> ArcStr {
-    HEALTH_PATH
+    DEFAULT_HEALTH_PATH
 }
 
-/// Rises with every accepted publication; 0 is the empty configuration before the first.
+/// Version of the configuration. Rises with every accepted publication; 0 is the empty configuration before the first one.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(transparent)]
 pub struct ConfigurationVersion(pub u64);
 
-/// One service as published.
+/// A service in the published configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceEntry {
     /// Unique in the configuration.
     pub name: ServiceName,
-    /// Path on which its upstreams answer whether they are well, and with what load.
+    /// Path on which upstreams of the service report their health and load.
     #[serde(default = "default_health_path")]
     pub health_path: ArcStr,
 }
@@ -49,14 +49,14 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceShare {
-    /// The service.
+    /// Name of the service.
     pub name: ServiceName,
-    /// Its part of the sum of all weights.
+    /// Weight; the service gets requests in proportion to its share of the sum of all weights.
     #[serde(default = "default_weight")]
     pub weight: u32,
 }
 
-/// One class of work as published: which requests belong to it, and what is promised to them.
+/// A class of work in the published configuration: which requests belong to it, and how they are handled.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClassEntry {
@@ -64,25 +64,25 @@
     pub name: ClassName,
     /// Value of the Host header, without port.
     pub host: ArcStr,
-    /// Start of the path; begins and ends with a slash. The longest prefix that fits decides.
+    /// Prefix of the path; begins and ends with a slash. Of several matching prefixes the longest applies.
     pub path_prefix: ArcStr,
-    /// Where its requests go; never empty.
+    /// Services that its requests are sent to; never empty.
     pub services: Vec<ServiceShare>,
-    /// Whether running a request twice does no harm.
+    /// Whether a request may run twice without harm.
     pub idempotent: bool,
-    /// Time within which 99 in 100 are to be answered, in milliseconds.
+    /// Target time, in milliseconds: 99 of 100 requests are to be answered within it.
     pub target_ms: u32,
-    /// Longest time that a caller is kept waiting, in milliseconds.
+    /// Longest time that a client waits for an answer, in milliseconds.
     pub timeout_ms: u32,
-    /// Rank among the classes of a service; 0 is served first.
+    /// Priority among the classes of a service; 0 is served first.
     #[serde(default)]
     pub priority: u8,
-    /// Most upstreams that one request may be sent to.
+    /// Maximum number of upstreams that one request may be sent to.
     #[serde(default = "default_max_attempts")]
     pub max_attempts: u16,
 }
 
-/// The whole published content.
+/// The complete published configuration.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Configuration {
@@ -93,10 +93,10 @@
 }
 
 impl Configuration {
-    /// The routing table that nodes put in force.
+    /// Builds the routing table of this configuration.
     #[must_use]
     pub fn build_table(&self, version: ConfigurationVersion) -> RoutingTable {
-        let facts = |service: &ServiceEntry| ServiceConfiguration {
+        let build_service = |service: &ServiceEntry| ServiceConfiguration {
             name: service.name.clone(),
             health_path: service.health_path.clone(),
             warm_up: None,
@@ -104,12 +104,12 @@
         RoutingTable {
             version,
             routes: self.classes.iter().map(build_route).map(Rc::new).collect(),
-            services: self.services.iter().map(facts).collect(),
+            services: self.services.iter().map(build_service).collect(),
             limits: ClientLimits::default(),
         }
     }
 
-    /// What differs from an earlier configuration, one line a change.
+    /// Differences from an earlier configuration, one line for each change.
     #[must_use]
     pub fn list_changes(&self, earlier: &Self) -> Vec<String> {
         let mut changes = list_service_changes(self, earlier);
@@ -119,7 +119,7 @@
 }
 
 fn build_route(class: &ClassEntry) -> Route {
-    let part = |share: &ServiceShare| WeightedService {
+    let build_share = |share: &ServiceShare| WeightedService {
         service: share.name.clone(),
         weight: share.weight,
     };
@@ -132,12 +132,12 @@
         target: Duration::from_millis(class.target_ms.into()),
         priority: class.priority,
         max_attempts: class.max_attempts,
-        services: class.services.iter().map(part).collect(),
+        services: class.services.iter().map(build_share).collect(),
     }
 }
 
-/// Entries by their names; the last of one name counts.
-fn by_name<Name: Ord, Entry>(
+/// Indexes entries by name. Of several entries with the same name the last one is kept.
+fn index_by_name<Name: Ord, Entry>(
     entries: &[Entry],
     name: impl Fn(&Entry) -> &Name,
 ) -> BTreeMap<&Name, &Entry> {
@@ -146,8 +146,8 @@
 
 fn list_service_changes(newer: &Configuration, earlier: &Configuration) -> Vec<String> {
     let (newer, earlier) = (
-        by_name(&newer.services, |entry| &entry.name),
-        by_name(&earlier.services, |entry| &entry.name),
+        index_by_name(&newer.services, |entry| &entry.name),
+        index_by_name(&earlier.services, |entry| &entry.name),
     );
     let mut changes = Vec::new();
     for (name, entry) in &newer {
@@ -167,14 +167,14 @@
 
 fn list_class_changes(newer: &Configuration, earlier: &Configuration) -> Vec<String> {
     let (newer, earlier) = (
-        by_name(&newer.classes, |entry| &entry.name),
-        by_name(&earlier.classes, |entry| &entry.name),
+        index_by_name(&newer.classes, |entry| &entry.name),
+        index_by_name(&earlier.classes, |entry| &entry.name),
     );
     let mut changes = Vec::new();
     for (name, entry) in &newer {
         match earlier.get(name) {
             None => changes.push(format!("class {name} added")),
-            Some(before) => changes.extend(list_fields(name, entry, before)),
+            Some(before) => changes.extend(list_field_changes(name, entry, before)),
         }
     }
     let dropped = earlier.keys().filter(|name| !newer.contains_key(*name));
@@ -182,9 +182,9 @@
     changes
 }
 
-fn list_fields(name: &ClassName, entry: &ClassEntry, before: &ClassEntry) -> Vec<String> {
+fn list_field_changes(name: &ClassName, entry: &ClassEntry, before: &ClassEntry) -> Vec<String> {
     let fields = |entry: &ClassEntry| {
-        // The type holds nothing that JSON can't.
+        // Can't fail: the type has only fields that JSON can represent.
         let value = serde_json::to_value(entry).unwrap_or_default();
         value.as_object().cloned().unwrap_or_default()
     };
--- a/src/state/evacuations.rs
+++ b/src/state/evacuations.rs
@@ -4,50 +4,52 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// One change by an operator.
+/// One evacuation of a zone, or the end of one, ordered by an operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EvacuationChange {
-    /// The zone.
+    /// The availability zone.
     pub zone: AvailabilityZoneName,
-    /// Whether it is evacuated, else taken back.
+    /// True if the zone is evacuated, false if it is restored.
     pub evacuated: bool,
-    /// Place of the record in the topic of the configuration.
+    /// Packed [`StorePosition`] of the record in the configuration topic.
     pub position: u64,
 }
 
-/// Which records of the topic were read.
+/// Which records of the configuration topic were read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EvacuationRead {
-    /// Those from the known position on.
+    /// The records from the known position on.
     Incremental,
-    /// The newest of all keys.
+    /// The latest record of every key.
     Full,
-    /// The newest of all keys, once the operator has written again what the store lost when it came back from a copy.
+    /// The latest record of every key, read after the operator rewrote what the store had lost when it was restored from a backup.
     AfterRewrites,
 }
 
-/// The evacuated zones as of one position in the topic of the configuration.
+/// The evacuated zones as of one position in the configuration topic.
 ///
-/// Of two states, the one with the later position replaces the other as a whole. Neither a delayed record nor a node that was
-/// partitioned can revive an evacuation that has ended.
+/// Of two states, the one with the later position replaces the other completely. So neither a delayed record nor a node that was
+/// partitioned can bring back an evacuation that has ended.
 ///
-/// A store that comes back from a copy lacks the last changes. The operator writes them again; until then those that are known here
-/// hold.
+/// A store that is restored from a backup lacks the latest changes. The operator writes them again. Until then, the changes
+/// known here stay in force.
+///
+/// All positions are packed [`StorePosition`]s.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Evacuations {
-    /// Place of the first record that is not applied yet; 0 if nothing is known.
+    /// Position of the first record that is not applied yet; 0 if nothing is known.
     position: u64,
     /// Position after the last record that changed a zone.
     changed_at: u64,
     zones: BTreeSet<AvailabilityZoneName>,
-    /// Places of the records by which zones were taken back.
+    /// By zone that was restored after an evacuation: the position of the record that ended the evacuation.
     #[serde(
         rename = "taken_back",
         default,
         skip_serializing_if = "BTreeMap::is_empty"
     )]
     restored_at: BTreeMap<AvailabilityZoneName, u64>,
-    /// Whether the store came back from a copy, and may lack what is known here.
+    /// Whether the store was restored from a backup and may lack changes that are known here.
     #[serde(
         rename = "is_ahead_of_copy",
         default,
@@ -69,21 +71,23 @@
         &self.zones
     }
 
-    /// Place of the first record that is not applied yet; 0 if nothing is known.
+    /// Position of the first record that is not applied yet; 0 if nothing is known.
     #[must_use]
     pub const fn position(&self) -> u64 {
         self.position
     }
 
-    /// Position after the last record that changed a zone; 0 if there was none. A node at this position or a later one has applied every
-    /// change known here.
+    /// Position after the last record that changed a zone; 0 if there was none. A node at this position or a later one has applied
+    /// every change that is known here.
     #[must_use]
     pub const fn changed_at(&self) -> u64 {
         self.changed_at
     }
 
-    /// The state after applying the records up to `next`. Where all keys were read, a zone without a record is not evacuated, unless
-    /// the store may lack what is known here.
+    /// The state after applying the records before position `next`.
+    ///
+    /// After a full read, a zone without a record isn't evacuated, unless the store may lack changes that are known here. Records
+    /// that are already applied change nothing.
     #[must_use]
     pub fn with_changes(
         &self,
@@ -91,15 +95,15 @@
         next: u64,
         read: EvacuationRead,
     ) -> Self {
-        let is_over = read == EvacuationRead::Incremental && next == self.position;
-        if next < self.position || is_over {
+        let is_applied = read == EvacuationRead::Incremental && next == self.position;
+        if next < self.position || is_applied {
             return self.clone();
         }
-        let has_returned = StorePosition::is_of_earlier_epoch(self.position, next);
+        let store_was_restored = StorePosition::is_of_earlier_epoch(self.position, next);
         let mut after = match read {
             EvacuationRead::Incremental => self.apply_changes(changes),
-            EvacuationRead::Full if has_returned || self.is_ahead_of_restored_store => {
-                self.join_copy(changes)
+            EvacuationRead::Full if store_was_restored || self.is_ahead_of_restored_store => {
+                self.merge_restored_store(changes)
             }
             EvacuationRead::Full | EvacuationRead::AfterRewrites => {
                 self.replace_zones(changes, next)
@@ -112,17 +116,18 @@
         after
     }
 
-    /// Replaces this state by that of another node if that one is later. True if it was.
-    pub fn replace_if_newer(&mut self, told: &Self) -> bool {
-        let is_later = (told.position, told.changed_at) > (self.position, self.changed_at);
+    /// Replaces this state with the state of another node if that one is later. Returns whether it was.
+    pub fn replace_if_newer(&mut self, other: &Self) -> bool {
+        let is_later = (other.position, other.changed_at) > (self.position, self.changed_at);
         if is_later {
-            self.clone_from(told);
+            self.clone_from(other);
         }
         is_later
     }
 
-    /// What is known stays. An evacuation in the copy is news unless the zone was taken back after that record.
-    fn join_copy(&self, changes: &[EvacuationChange]) -> Self {
+    /// Merges a full read of a restored store into the known state. Known evacuations stay. An evacuation in the store is added
+    /// unless its zone was restored after that record. Only offsets are compared, since the store has started a new epoch.
+    fn merge_restored_store(&self, changes: &[EvacuationChange]) -> Self {
         let offset_of = |position| StorePosition::unpack(position).offset;
         let mut after = self.clone();
         after.is_ahead_of_restored_store = true;
--- a/src/state/quarantine.rs
+++ b/src/state/quarantine.rs
@@ -1,4 +1,4 @@
-//! Requests that are kept from all upstreams, since they crash each one that runs them.
+//! Requests that nodes send to no upstream, because they crash every upstream that runs them.
 
 use crate::state::{request_fingerprint::RequestFingerprint, timestamp::Timestamp};
 use std::{
@@ -6,26 +6,26 @@
     time::Duration,
 };
 
-/// Time for which a request is kept from upstreams: what is wrong with the upstreams may have been mended by then. If not, some
-/// more of them crash until it is known again.
+/// How long a request stays in quarantine. The fault in the upstreams may be fixed by then. If it isn't, a few more of them crash
+/// until the request is quarantined again.
 pub const QUARANTINE_DURATION: Duration = Duration::from_mins(15);
-/// Time for which a request that was let go can't be put back on another node's word. What was told before it was let go may still be
-/// under way, or stand in a record that is about to be written again.
-const LIFT_HOLDS: Duration = Duration::from_mins(1);
-/// Requests in quarantine at once, those that stay longest.
+/// How long reports of other nodes can't put a request back into quarantine after its quarantine was lifted. Earlier reports may
+/// still be in transit, or in a record of the store that is about to be overwritten.
+const LIFT_PROTECTION: Duration = Duration::from_mins(1);
+/// Maximum number of requests in quarantine. Beyond it, the request that would be released first is released early.
 const MAX_QUARANTINED: usize = 1_024;
 
-/// Who found out that a request crashes upstreams.
+/// How this node learned that a request crashes upstreams.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QuarantineSource {
-    /// This node, which counted the crashes. It writes the finding to the store.
+    /// This node counted the crashes. It writes the quarantine to the store.
     Counted,
-    /// Another node.
+    /// Another node reported it.
     Reported,
 }
 
 impl QuarantineSource {
-    /// The word for the log.
+    /// The value in log events.
     #[must_use]
     pub const fn name(self) -> &'static str {
         match self {
@@ -45,46 +45,53 @@
 #[derive(Clone, Debug, Default)]
 pub struct Quarantine {
     requests: BTreeMap<RequestFingerprint, Quarantined>,
-    /// When requests were let go before their time.
+    /// Requests whose quarantine was lifted before its end, and when.
     lifted: BTreeMap<RequestFingerprint, Timestamp>,
 }
 
 impl Quarantine {
-    /// Puts a request into quarantine; true if it was not in it.
+    /// Puts a request into quarantine. Returns whether that was new: it isn't if the request is in quarantine already, or if a
+    /// report arrives shortly after the quarantine was lifted.
     pub fn insert(
         &mut self,
-        digest: RequestFingerprint,
+        fingerprint: RequestFingerprint,
         source: QuarantineSource,
         now: Timestamp,
     ) -> bool {
-        self.forget_past(now);
-        let is_lifted = source == QuarantineSource::Reported && self.lifted.contains_key(&digest);
-        if is_lifted || self.requests.contains_key(&digest) {
+        self.remove_expired(now);
+        let is_lifted =
+            source == QuarantineSource::Reported && self.lifted.contains_key(&fingerprint);
+        if is_lifted || self.requests.contains_key(&fingerprint) {
             return false;
         }
         let until = now + QUARANTINE_DURATION;
-        self.requests.insert(digest, Quarantined { until, source });
+        self.requests
+            .insert(fingerprint, Quarantined { until, source });
         if self.requests.len() > MAX_QUARANTINED {
-            self.release_oldest();
+            self.release_earliest();
         }
         true
     }
 
-    /// Ends the quarantine of a request; returns who had found it out, if it was in it.
-    pub fn lift(&mut self, digest: RequestFingerprint, now: Timestamp) -> Option<QuarantineSource> {
-        self.forget_past(now);
-        self.lifted.insert(digest, now);
-        self.requests.remove(&digest).map(|known| known.source)
+    /// Lifts the quarantine of a request before its end. Returns the source of the quarantine, or `None` if there was none.
+    pub fn lift(
+        &mut self,
+        fingerprint: RequestFingerprint,
+        now: Timestamp,
+    ) -> Option<QuarantineSource> {
+        self.remove_expired(now);
+        self.lifted.insert(fingerprint, now);
+        self.requests.remove(&fingerprint).map(|known| known.source)
     }
 
-    /// How much longer a request is in quarantine; none if it is not.
+    /// Remaining time of a request in quarantine; `None` if it isn't in quarantine.
     #[must_use]
-    pub fn time_left(&self, digest: RequestFingerprint, now: Timestamp) -> Option<Duration> {
-        let quarantined = self.requests.get(&digest)?;
+    pub fn time_left(&self, fingerprint: RequestFingerprint, now: Timestamp) -> Option<Duration> {
+        let quarantined = self.requests.get(&fingerprint)?;
         (now < quarantined.until).then(|| quarantined.until.since(now))
     }
 
-    /// Requests in quarantine.
+    /// Number of requests in quarantine.
     #[must_use]
     pub fn len(&self, now: Timestamp) -> usize {
         let requests = self.requests.values();
@@ -93,7 +100,8 @@
             .count()
     }
 
-    /// Requests of which the store holds something else than what is known here; it holds `stored` in quarantine.
+    /// Requests whose quarantine differs between this node and the store. `stored` are the requests that the store has in
+    /// quarantine.
     #[must_use]
     pub fn list_differences(
         &self,
@@ -101,22 +109,26 @@
         now: Timestamp,
     ) -> Vec<RequestFingerprint> {
         let kept = self.requests.iter();
-        let kept = kept.filter(|(digest, known)| now < known.until && !stored.contains(*digest));
-        let lifted = self.lifted.keys().filter(|digest| stored.contains(*digest));
-        kept.map(|(digest, _)| *digest)
+        let kept =
+            kept.filter(|(fingerprint, known)| now < known.until && !stored.contains(*fingerprint));
+        let lifted = self
+            .lifted
+            .keys()
+            .filter(|fingerprint| stored.contains(*fingerprint));
+        kept.map(|(fingerprint, _)| *fingerprint)
             .chain(lifted.copied())
             .collect()
     }
 
-    fn forget_past(&mut self, now: Timestamp) {
+    fn remove_expired(&mut self, now: Timestamp) {
         self.requests.retain(|_, known| now < known.until);
-        self.lifted.retain(|_, at| now.since(*at) < LIFT_HOLDS);
+        self.lifted.retain(|_, at| now.since(*at) < LIFT_PROTECTION);
     }
 
-    fn release_oldest(&mut self) {
+    fn release_earliest(&mut self) {
         let oldest = self.requests.iter().min_by_key(|(_, known)| known.until);
-        if let Some(digest) = oldest.map(|(digest, _)| *digest) {
-            self.requests.remove(&digest);
+        if let Some(fingerprint) = oldest.map(|(fingerprint, _)| *fingerprint) {
+            self.requests.remove(&fingerprint);
         }
     }
 }
--- a/src/state/routing_table.rs
+++ b/src/state/routing_table.rs
@@ -1,4 +1,4 @@
-//! Which service a request belongs to: routes by host and longest path prefix.
+//! Routing table: maps a request to a class of work and its services, by host and longest matching path prefix.
 
 use crate::state::{
     configuration::ConfigurationVersion,
@@ -13,40 +13,40 @@
     time::Duration,
 };
 
-/// One of the services that share a route's requests.
+/// One of the services among which the requests of a route are split.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct WeightedService {
-    /// The service.
+    /// Name of the service.
     pub service: ServiceName,
-    /// Its part of the sum of all weights.
+    /// Weight; the service gets requests in proportion to its share of the sum of all weights.
     pub weight: u32,
 }
 
-/// One route: the class of work of the requests below a path prefix of a host.
+/// A route: assigns requests below a path prefix of a host to a class of work.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Route {
     /// Name of the class of work, unique in the table.
     pub class: ClassName,
     /// Value of the Host header, without port, in lower case.
     pub host: ArcStr,
-    /// Start of the path; begins and ends with a slash.
+    /// Prefix of the path; begins and ends with a slash.
     pub path_prefix: ArcStr,
-    /// Whether running a request twice does no harm.
+    /// Whether a request may run twice without harm.
     pub idempotent: bool,
-    /// Longest time that a client is kept waiting.
+    /// Longest time that a client waits for an answer.
     pub timeout: Duration,
-    /// Time within which an answer is worth its full value.
+    /// Target time: answers within it have their full value.
     pub target: Duration,
-    /// Rank among the classes of a service; 0 is served first.
+    /// Priority among the classes of a service; 0 is served first.
     pub priority: u8,
-    /// Most upstreams that one request may be sent to.
+    /// Maximum number of upstreams that one request may be sent to.
     pub max_attempts: u16,
-    /// Where requests go; never empty.
+    /// Services that requests are sent to; never empty.
     pub services: Vec<WeightedService>,
 }
 
 impl Route {
-    /// The service at `position` of the sum of weights; `position` is from 0 up to 1.
+    /// Picks the service at `position` (0 to 1) of the sum of all weights. `None` if all weights are 0.
     #[must_use]
     pub fn pick_service(&self, position: f64) -> Option<&ServiceName> {
         let sum: f64 = self
@@ -54,45 +54,45 @@
             .iter()
             .map(|part| f64::from(part.weight))
             .sum();
-        let mut rest = position.clamp(0.0, 1.0) * sum;
+        let mut remaining = position.clamp(0.0, 1.0) * sum;
         let found = self.services.iter().find(|part| {
-            rest -= f64::from(part.weight);
-            rest < 0.0
+            remaining -= f64::from(part.weight);
+            remaining < 0.0
         });
         let last = || self.services.iter().rfind(|part| part.weight > 0);
         found.or_else(last).map(|part| &part.service)
     }
 }
 
-/// What operators tell of a service.
+/// Configuration of one service.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ServiceConfiguration {
-    /// The service.
+    /// Name of the service.
     pub name: ServiceName,
-    /// Path on which its upstreams answer whether they are well, and with what load.
+    /// Path on which upstreams of the service report their health and load.
     pub health_path: ArcStr,
-    /// What its upstreams tolerate when they are cold; none if that is as much as when they are warm.
+    /// Limit for upstreams that are warming up; `None` if they can take the full load at once.
     #[serde(rename = "when_cold", default, skip_serializing_if = "Option::is_none")]
     pub warm_up: Option<WarmUpLimit>,
 }
 
-/// What operators tell of the upstreams of a service that are cold.
+/// Limit for an upstream that is warming up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct WarmUpLimit {
-    /// Requests a minute that one of them tolerates.
+    /// Requests per minute that one upstream can take while it is warming up.
     pub requests_per_minute: u32,
-    /// How long it is cold.
+    /// How long the warm-up takes.
     #[serde(rename = "lasts")]
     pub duration: Duration,
 }
 
-/// Bounds on what clients send and how long they take.
+/// Limits for connections and requests of clients.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ClientLimits {
-    /// Largest body in bytes.
+    /// Maximum size of a request body in bytes.
     #[serde(rename = "body_bytes")]
     pub max_body_bytes: usize,
-    /// Time that a connection may be idle.
+    /// How long a connection may be idle.
     pub idle_timeout: Duration,
 }
 
@@ -105,20 +105,20 @@
     }
 }
 
-/// A whole configuration as nodes pass it on.
+/// A complete configuration, in the form in which nodes exchange it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RoutingTable {
-    /// Rises with every change.
+    /// Version of the configuration; rises with every change.
     pub version: ConfigurationVersion,
     /// All routes, in no particular order.
     pub routes: Vec<Rc<Route>>,
     /// All services.
     pub services: Vec<ServiceConfiguration>,
-    /// Bounds on clients.
+    /// Limits for clients.
     pub limits: ClientLimits,
 }
 
-/// A table made ready for looking up routes.
+/// A routing table with an index to look up routes.
 #[derive(Clone, Debug)]
 pub struct RouteIndex {
     table: RoutingTable,
@@ -126,7 +126,7 @@
 }
 
 impl RouteIndex {
-    /// Sorts the routes of a table by host and prefix.
+    /// Indexes the routes of a table by host and path prefix.
     #[must_use]
     pub fn new(table: RoutingTable) -> Self {
         let mut hosts: HashMap<ArcStr, HostRoutes> = HashMap::new();
@@ -136,20 +136,21 @@
         Self { table, hosts }
     }
 
-    /// The table it was made from.
+    /// The indexed table.
     #[must_use]
     pub fn table(&self) -> &RoutingTable {
         &self.table
     }
 
-    /// What operators tell of a service.
+    /// Finds the configuration of a service.
     #[must_use]
     pub fn find_service(&self, service: &ServiceName) -> Option<&ServiceConfiguration> {
         let mut services = self.table.services.iter();
-        services.find(|facts| facts.name == *service)
+        services.find(|known| known.name == *service)
     }
 
-    /// The route with the longest prefix of `path` among those of `host`. A port is ignored.
+    /// Finds the route of `host` with the longest path prefix that matches `path`. A port in `host` is ignored, and so is letter
+    /// case.
     #[must_use]
     pub fn find_route(&self, host: &str, path: &str) -> Option<&Rc<Route>> {
         let name = host.rsplit_once(':').map_or(host, |(name, _port)| name);
@@ -161,17 +162,17 @@
     }
 }
 
-/// The routes of one host by their prefixes.
+/// The routes of one host, by path prefix.
 #[derive(Clone, Debug, Default)]
 struct HostRoutes {
     by_prefix: HashMap<ArcStr, Rc<Route>>,
-    ends: BTreeSet<PrefixEnd>,
+    prefix_ends: BTreeSet<PrefixEnd>,
 }
 
 impl HostRoutes {
-    /// The first route of a prefix stays.
+    /// Adds a route, unless another route has the same prefix.
     fn add(&mut self, route: &Rc<Route>) {
-        self.ends.insert(PrefixEnd::of(&route.path_prefix));
+        self.prefix_ends.insert(PrefixEnd::of(&route.path_prefix));
         let prefix = route.path_prefix.clone();
         self.by_prefix
             .entry(prefix)
@@ -179,32 +180,37 @@
     }
 
     fn find(&self, path: &str) -> Option<&Rc<Route>> {
-        let fitting = self.ends.iter().filter_map(|end| end.cut(path));
-        let mut found = fitting.filter_map(|prefix| self.by_prefix.get(prefix));
-        found.next()
+        let prefixes = self
+            .prefix_ends
+            .iter()
+            .filter_map(|end| end.find_prefix(path));
+        let mut routes = prefixes.filter_map(|prefix| self.by_prefix.get(prefix));
+        routes.next()
     }
 }
 
-/// Where a prefix ends, the longest first. A path is looked up only where a prefix may end: a client's path may have
-/// thousands of slashes, and looking up each start of it would take time by the square of its length.
+/// Length and last byte of a path prefix. Ordered by length, the longest first.
+///
+/// A path is looked up only at lengths where a prefix of the table may end. A client may send a path with thousands of slashes,
+/// and looking up the path up to each slash would take time proportional to the square of its length.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct PrefixEnd {
     length: Reverse<usize>,
-    /// Mostly a slash; none if the prefix is empty.
-    last: Option<u8>,
+    /// Usually a slash; `None` if the prefix is empty.
+    last_byte: Option<u8>,
 }
 
 impl PrefixEnd {
     fn of(prefix: &str) -> Self {
         Self {
             length: Reverse(prefix.len()),
-            last: prefix.bytes().last(),
+            last_byte: prefix.bytes().last(),
         }
     }
 
-    /// The start of `path` up to there, if it ends in the same byte.
-    fn cut(self, path: &str) -> Option<&str> {
+    /// The part of `path` up to this length, if it ends in the same byte as the prefix.
+    fn find_prefix(self, path: &str) -> Option<&str> {
         let start = path.get(..self.length.0)?;
-        (start.bytes().last() == self.last).then_some(start)
+        (start.bytes().last() == self.last_byte).then_some(start)
     }
 }
--- a/src/state/table_change.rs
+++ b/src/state/table_change.rs
@@ -1,8 +1,8 @@
-//! What turns a routing table into a later one, as nodes tell it each other.
+//! Differences between two versions of a routing table, which nodes send each other instead of whole tables.
 //!
-//! A table of thousands of routes changes by a few at a time, and most of its routes agree in all but their name and
-//! their path. So a change holds the routes that differ from those of its base, and what routes have in common once. A change
-//! without a base holds the whole table in the same form.
+//! A table of thousands of routes changes by a few routes at a time, and most routes differ only in their class and path. So a
+//! change holds only the routes that differ from its base table, and lists settings that routes have in common once. A change
+//! without a base holds the complete table in the same form.
 
 use crate::state::{
     configuration::ConfigurationVersion,
@@ -20,26 +20,26 @@
 use thiserror::Error;
 use xxhash_rust::xxh64::Xxh64;
 
-/// Start value of the digests; any will do as long as all nodes have the same.
-const DIGEST_SEED: u64 = 0;
+/// Seed of the checksums. Any value works, as long as all nodes use the same.
+const CHECKSUM_SEED: u64 = 0;
 
-/// Why a change can't be used. The whole table can be asked for instead.
+/// Why a change can't be applied. The complete table can be requested instead.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum ChangeError {
-    /// It changes a version that is not in force here.
-    #[error("it changes version {0}, which is not in force here")]
+    /// It is based on this version, which isn't in force on this node.
+    #[error("the change is based on version {0}, which is not in force on this node")]
     BaseMismatch(u64),
-    /// A route refers to terms that the change does not hold.
-    #[error("terms {0} are missing")]
-    MissingTerms(usize),
-    /// What comes of it is not the table that it was made from.
-    #[error("the digest of what comes of it differs")]
+    /// A route refers to an entry, by this index, that the list of route settings doesn't have.
+    #[error("route settings {0} are missing")]
+    MissingSettings(usize),
+    /// The resulting table isn't the one that the change was computed from.
+    #[error("the checksum of the resulting table differs")]
     ChecksumMismatch,
 }
 
-/// What routes of a class of work have in common beside name and place.
+/// Settings of a route, which many routes have in common: all but its class, host and path prefix.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-struct RouteTerms {
+struct RouteSettings {
     idempotent: bool,
     timeout: Duration,
     target: Duration,
@@ -48,7 +48,7 @@
     services: Vec<WeightedService>,
 }
 
-impl RouteTerms {
+impl RouteSettings {
     fn of(route: &Route) -> Self {
         Self {
             idempotent: route.idempotent,
@@ -60,11 +60,11 @@
         }
     }
 
-    fn build_route(&self, host: &ArcStr, placed: &PlacedRoute) -> Route {
+    fn build_route(&self, host: &ArcStr, changed: &PlacedRoute) -> Route {
         Route {
-            class: placed.class.clone(),
+            class: changed.class.clone(),
             host: host.clone(),
-            path_prefix: placed.path_prefix.clone(),
+            path_prefix: changed.path_prefix.clone(),
             idempotent: self.idempotent,
             timeout: self.timeout,
             target: self.target,
@@ -75,124 +75,129 @@
     }
 }
 
-/// A route that is new or differs from that of the base; in JSON an array, as there may be thousands.
+/// A route that is new or differs from that of the base. In JSON it is an array, to keep thousands of them short.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "PlacedRouteArray", into = "PlacedRouteArray")]
 struct PlacedRoute {
     class: ClassName,
     path_prefix: ArcStr,
-    /// Place in the list of terms.
-    terms: usize,
+    /// Index in the list of settings.
+    settings: usize,
 }
 
 type PlacedRouteArray = (ClassName, ArcStr, usize);
 
 impl From<PlacedRouteArray> for PlacedRoute {
-    fn from((class, path_prefix, terms): PlacedRouteArray) -> Self {
+    fn from((class, path_prefix, settings): PlacedRouteArray) -> Self {
         Self {
             class,
             path_prefix,
-            terms,
+            settings,
         }
     }
 }
 
 impl From<PlacedRoute> for PlacedRouteArray {
     fn from(route: PlacedRoute) -> Self {
-        (route.class, route.path_prefix, route.terms)
+        (route.class, route.path_prefix, route.settings)
     }
 }
 
-/// What differs among the routes of one host.
+/// Differences in the routes of one host.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 struct HostChange {
-    #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    placed: Vec<PlacedRoute>,
-    /// Path prefixes of routes that are gone.
+    /// Routes that are new or differ.
+    #[serde(rename = "placed", default, skip_serializing_if = "Vec::is_empty")]
+    changed: Vec<PlacedRoute>,
+    /// Path prefixes of removed routes.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     removed: Vec<ArcStr>,
 }
 
-/// What turns a routing table into a later one.
+/// The change from one version of a routing table to a later one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TableChange {
-    /// Version that it changes; none if it holds the whole table.
+    /// Version that the change is based on; `None` if it holds the complete table.
     pub base: Option<ConfigurationVersion>,
-    /// Version of the table that comes of it.
+    /// Version of the resulting table.
     pub version: ConfigurationVersion,
-    /// Digest of the table that comes of it.
-    digest: u64,
-    terms: Vec<RouteTerms>,
+    /// Checksum of the resulting table.
+    #[serde(rename = "digest")]
+    checksum: u64,
+    /// Settings that the routes of the change refer to.
+    #[serde(rename = "terms")]
+    settings: Vec<RouteSettings>,
+    /// Changed routes, by host.
     hosts: BTreeMap<ArcStr, HostChange>,
-    /// All services; none if they are those of the base.
+    /// All services; `None` if they are the same as in the base.
     services: Option<Vec<ServiceConfiguration>>,
     limits: ClientLimits,
 }
 
 impl TableChange {
-    /// What turns `base` into `table`, or the whole of `table`.
+    /// The change from `base` to `table`. Without a base, the change holds the complete `table`.
     #[must_use]
     pub fn between(base: Option<&RoutingTable>, table: &RoutingTable) -> Self {
         let mut before = base.map(index_routes).unwrap_or_default();
-        let mut terms = TermList::default();
+        let mut settings = SettingsList::default();
         let mut hosts: BTreeMap<ArcStr, HostChange> = BTreeMap::new();
         for route in &table.routes {
-            if before.remove(&key_of(route)) == Some(route) {
+            if before.remove(&get_route_key(route)) == Some(route) {
                 continue;
             }
-            let placed = PlacedRoute {
+            let changed = PlacedRoute {
                 class: route.class.clone(),
                 path_prefix: route.path_prefix.clone(),
-                terms: terms.place(RouteTerms::of(route)),
+                settings: settings.find_or_add(RouteSettings::of(route)),
             };
             hosts
                 .entry(route.host.clone())
                 .or_default()
-                .placed
-                .push(placed);
+                .changed
+                .push(changed);
         }
-        for gone in before.into_values() {
-            let change = hosts.entry(gone.host.clone()).or_default();
-            change.removed.push(gone.path_prefix.clone());
+        for removed in before.into_values() {
+            let change = hosts.entry(removed.host.clone()).or_default();
+            change.removed.push(removed.path_prefix.clone());
         }
         let services_differ = base.is_none_or(|base| base.services != table.services);
         Self {
             base: base.map(|base| base.version),
             version: table.version,
-            digest: digest_table(table),
-            terms: terms.list,
+            checksum: compute_checksum(table),
+            settings: settings.list,
             hosts,
             services: services_differ.then(|| table.services.clone()),
             limits: table.limits,
         }
     }
 
-    /// The table that comes of it. Routes that stay are shared with the base.
+    /// Applies the change to `base` and returns the resulting table. Unchanged routes are shared with the base.
     ///
     /// # Errors
-    /// If it changes another version, or what comes of it is not the table that it was made from: `base` is then left as
-    /// it is, and the whole table is to be asked for.
+    /// If the change is based on another version, is incomplete, or results in another table than it was computed from. The caller
+    /// keeps `base` and requests the complete table.
     pub fn apply(&self, base: Option<&RoutingTable>) -> Result<RoutingTable, ChangeError> {
         let base = self.find_base(base)?;
         let services = self.services.as_ref();
         let services = services.or(base.map(|base| &base.services));
         let mut table = RoutingTable {
             version: self.version,
-            routes: base.map_or_else(Vec::new, |base| keep_routes(base, &self.hosts)),
+            routes: base.map_or_else(Vec::new, |base| list_unchanged_routes(base, &self.hosts)),
             services: services.cloned().unwrap_or_default(),
             limits: self.limits,
         };
         for (host, change) in &self.hosts {
-            for placed in &change.placed {
-                let terms = self.terms.get(placed.terms);
-                let terms = terms.ok_or(ChangeError::MissingTerms(placed.terms))?;
-                let route = terms.build_route(host, placed);
+            for changed in &change.changed {
+                let settings = self.settings.get(changed.settings);
+                let settings = settings.ok_or(ChangeError::MissingSettings(changed.settings))?;
+                let route = settings.build_route(host, changed);
                 table.routes.push(Rc::new(route));
             }
         }
-        // What a whole table holds doesn't rest on what is known here, and a node of another release may work its digest out
-        // otherwise.
-        if base.is_some() && digest_table(&table) != self.digest {
+        // A complete table doesn't depend on the table known here, so it isn't checked: a node of another release may compute the
+        // checksum differently.
+        if base.is_some() && compute_checksum(&table) != self.checksum {
             return Err(ChangeError::ChecksumMismatch);
         }
         Ok(table)
@@ -202,68 +207,71 @@
         &self,
         base: Option<&'a RoutingTable>,
     ) -> Result<Option<&'a RoutingTable>, ChangeError> {
-        let Some(wanted) = self.base else {
+        let Some(base_version) = self.base else {
             return Ok(None);
         };
-        match base.filter(|base| base.version == wanted) {
+        match base.filter(|base| base.version == base_version) {
             Some(base) => Ok(Some(base)),
-            None => Err(ChangeError::BaseMismatch(wanted.0)),
+            None => Err(ChangeError::BaseMismatch(base_version.0)),
         }
     }
 }
 
-/// The terms of a change, each once.
+/// The settings of a change, each once.
 #[derive(Default)]
-struct TermList {
-    list: Vec<RouteTerms>,
-    places: HashMap<RouteTerms, usize>,
+struct SettingsList {
+    list: Vec<RouteSettings>,
+    indices: HashMap<RouteSettings, usize>,
 }
 
-impl TermList {
-    fn place(&mut self, terms: RouteTerms) -> usize {
-        if let Some(place) = self.places.get(&terms) {
-            return *place;
+impl SettingsList {
+    fn find_or_add(&mut self, settings: RouteSettings) -> usize {
+        if let Some(index) = self.indices.get(&settings) {
+            return *index;
         }
-        let place = self.list.len();
-        self.list.push(terms.clone());
-        self.places.insert(terms, place);
-        place
+        let index = self.list.len();
+        self.list.push(settings.clone());
+        self.indices.insert(settings, index);
+        index
     }
 }
 
-/// Host and path prefix, which no two routes of a table share.
+/// Host and path prefix. No two routes of a table have the same.
 type RouteKey<'a> = (&'a str, &'a str);
 
-fn key_of(route: &Route) -> RouteKey<'_> {
+fn get_route_key(route: &Route) -> RouteKey<'_> {
     (&route.host, &route.path_prefix)
 }
 
 fn index_routes(table: &RoutingTable) -> HashMap<RouteKey<'_>, &Rc<Route>> {
     let routes = table.routes.iter();
-    routes.map(|route| (key_of(route), route)).collect()
+    routes.map(|route| (get_route_key(route), route)).collect()
 }
 
 /// The routes of the base that a change neither removes nor replaces.
-fn keep_routes(base: &RoutingTable, hosts: &BTreeMap<ArcStr, HostChange>) -> Vec<Rc<Route>> {
+fn list_unchanged_routes(
+    base: &RoutingTable,
+    hosts: &BTreeMap<ArcStr, HostChange>,
+) -> Vec<Rc<Route>> {
     let mut kept = index_routes(base);
     for (host, change) in hosts {
-        let placed = change.placed.iter().map(|placed| &placed.path_prefix);
-        for path_prefix in placed.chain(&change.removed) {
+        let changed = change.changed.iter().map(|changed| &changed.path_prefix);
+        for path_prefix in changed.chain(&change.removed) {
             kept.remove(&(host.as_str(), path_prefix.as_str()));
         }
     }
     kept.into_values().map(Rc::clone).collect()
 }
 
-/// The same for tables that agree in all but the order of their routes.
-fn digest_table(table: &RoutingTable) -> u64 {
+/// Checksum of a table. It doesn't depend on the order of the routes.
+fn compute_checksum(table: &RoutingTable) -> u64 {
     let routes = table.routes.iter();
-    let sum = routes.fold(0_u64, |sum, route| sum.wrapping_add(digest(route)));
-    digest(&(table.version, &table.services, table.limits, sum))
+    let sum = routes.fold(0_u64, |sum, route| sum.wrapping_add(hash_value(route)));
+    hash_value(&(table.version, &table.services, table.limits, sum))
 }
 
-fn digest(value: &impl Hash) -> u64 {
-    let mut hasher = Xxh64::new(DIGEST_SEED);
+fn hash_value(value: &impl Hash) -> u64 {
+    let mut hasher = Xxh64::new(CHECKSUM_SEED);
     value.hash(&mut hasher);
     hasher.finish()
 }
--- a/src/state/table_history.rs
+++ b/src/state/table_history.rs
@@ -1,4 +1,4 @@
-//! The routing table in force and the ones before it.
+//! The routing table in force and earlier versions of it.
 
 use crate::state::{
     configuration::ConfigurationVersion,
@@ -10,18 +10,19 @@
     rc::Rc,
 };
 
-/// Tables that are kept to tell what changed since them. A node that is further behind gets the whole table. Tables share the
-/// routes that stay, so one costs a pointer a route.
-const EARLIER_TABLES: usize = 8;
+/// Number of earlier tables that are kept to compute changes since them. A node that is further behind gets the complete table.
+/// Tables share unchanged routes, so each of them costs one pointer per route.
+const MAX_EARLIER_TABLES: usize = 8;
 
-/// The routing table in force and the ones before it, each with what changed since.
+/// The routing table in force and earlier ones, with the changes from them to the table in force.
 #[derive(Debug, Default)]
 pub struct TableHistory {
     current: Option<Rc<RouteIndex>>,
-    /// The oldest first.
+    /// Earlier tables, oldest first.
     earlier: VecDeque<RoutingTable>,
-    /// What turned the table of a version into the one in force, as told before; without a version the whole table.
-    told: HashMap<Option<ConfigurationVersion>, Rc<TableChange>>,
+    /// Changes to the table in force that were already computed, by the version that they are based on. The key `None` stands for
+    /// the complete table.
+    computed_changes: HashMap<Option<ConfigurationVersion>, Rc<TableChange>>,
 }
 
 impl TableHistory {
@@ -31,7 +32,7 @@
         self.current.as_ref()
     }
 
-    /// Its version; 0 if there is none.
+    /// Version of the routing table in force; 0 if there is none.
     #[must_use]
     pub fn version(&self) -> ConfigurationVersion {
         let current = self.current.as_ref();
@@ -40,10 +41,10 @@
         })
     }
 
-    /// Puts a table in force unless it is older than the present one. True if it was newer.
+    /// Puts a table in force if it is newer than the current one. Returns whether it was.
     ///
-    /// Versions reach a node by several ways. Without this check a late copy would undo a change
-    /// that an upstream has already seen the effect of.
+    /// A version reaches a node on several paths. Without this check, a late copy of an older version would revert a change
+    /// whose effect an upstream has already seen.
     pub fn replace_if_newer(&mut self, mut table: RoutingTable) -> bool {
         if table.version <= self.version() {
             return false;
@@ -51,17 +52,17 @@
         if let Some(current) = self.current.take() {
             share_routes(&mut table, current.table());
             self.earlier.push_back(current.table().clone());
-            if self.earlier.len() > EARLIER_TABLES {
+            if self.earlier.len() > MAX_EARLIER_TABLES {
                 self.earlier.pop_front();
             }
         }
-        self.told.clear();
+        self.computed_changes.clear();
         self.current = Some(Rc::new(RouteIndex::new(table)));
         true
     }
 
-    /// What turns the table of a version into the one in force: the whole table if that version isn't kept here, nothing
-    /// if it is the one in force or a newer one.
+    /// The change from a version to the table in force. It holds the complete table if that version isn't kept here. `None` if
+    /// that version is the one in force or newer.
     pub fn change_since(&mut self, version: ConfigurationVersion) -> Option<Rc<TableChange>> {
         if version >= self.version() {
             return None;
@@ -71,17 +72,17 @@
             .earlier
             .iter()
             .find(|earlier| earlier.version == version);
-        // Many nodes ask for the same change within a moment.
-        let told = self
-            .told
+        // Many nodes request the same change at about the same time.
+        let change = self
+            .computed_changes
             .entry(base.map(|base| base.version))
             .or_insert_with(|| Rc::new(TableChange::between(base, current.table())));
-        Some(Rc::clone(told))
+        Some(Rc::clone(change))
     }
 }
 
-/// Has a table use the routes of the one before it where they are equal. A store gives whole tables; without this each of the
-/// tables that are kept would hold thousands of routes of its own.
+/// Makes a table share the routes of the one before it where they are equal. The store returns complete tables; without sharing,
+/// each kept table would hold its own copy of thousands of routes.
 fn share_routes(table: &mut RoutingTable, before: &RoutingTable) {
     let known = before.routes.iter();
     let known: HashMap<(&str, &str), &Rc<Route>> = known
--- a/src/timers.rs
+++ b/src/timers.rs
@@ -1,6 +1,6 @@
-//! The timer service: one place that knows the time and wakes whoever subscribed.
+//! Timer service: the only source of time, with one-shot and periodic timers.
 //!
-//! Subscribers get a [`flume::Receiver`]; dropping it ends the subscription.
+//! Subscribers get a [`flume::Receiver`]. Dropping it ends the subscription.
 
 use crate::state::timestamp::Timestamp;
 use flume::{Receiver, Sender};
@@ -14,17 +14,17 @@
 
 /// Milliseconds since the Unix epoch.
 ///
-/// NB: the wall clock may step in either direction. It is for people; spans and deadlines are measured
-/// with [`TimerService::now`].
+/// The wall clock may step in either direction, so it is used only for times that people read. Durations and deadlines use
+/// [`TimerService::now`].
 #[must_use]
 pub fn read_wall_millis() -> u64 {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH);
-    since.map_or(0, |span| {
-        u64::try_from(span.as_millis()).unwrap_or(u64::MAX)
+    let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
+    since_epoch.map_or(0, |duration| {
+        u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
     })
 }
 
-/// Where the time comes from.
+/// Source of the time.
 enum Clock {
     System { start: Instant },
     Fake { now: Timestamp },
@@ -32,7 +32,7 @@
 
 struct Subscription {
     due: Timestamp,
-    /// Keeps subscriptions that are due at the same moment in the order of their making.
+    /// Rises with each subscription, so that subscriptions due at the same time fire in the order in which they were made.
     number: u64,
     period: Option<Duration>,
     tx: Sender<Timestamp>,
@@ -82,12 +82,12 @@
             let Some(Reverse(mut due)) = self.queue.pop() else {
                 return;
             };
-            // A full channel means that the subscriber has not taken the last tick yet: skip one.
-            let gone = matches!(
+            // A full channel means that the subscriber has not received the last tick yet. This tick is skipped.
+            let disconnected = matches!(
                 due.tx.try_send(due.due),
                 Err(flume::TrySendError::Disconnected(_))
             );
-            if let Some(period) = due.period.filter(|_| !gone) {
+            if let Some(period) = due.period.filter(|_| !disconnected) {
                 due.due = (due.due + period).max(now);
                 self.queue.push(Reverse(due));
             }
@@ -97,7 +97,8 @@
 
 struct Inner {
     shared: Mutex<Shared>,
-    earlier: Condvar,
+    /// Wakes the thread when an earlier timer was added or the service was stopped.
+    wake_up: Condvar,
 }
 
 /// Handle to the timer service; clones share it.
@@ -107,7 +108,7 @@
 }
 
 impl TimerService {
-    /// A service on the system's monotonic clock, with a thread of its own.
+    /// A service on the monotonic clock of the system. It runs on its own thread.
     #[must_use]
     pub fn system() -> Self {
         let service = Self::with_clock(Clock::System {
@@ -118,7 +119,7 @@
         service
     }
 
-    /// A service whose time stands still until [`Self::advance`].
+    /// A service for tests, whose time changes only by [`Self::advance`].
     #[must_use]
     pub fn fake() -> Self {
         Self::with_clock(Clock::Fake {
@@ -136,20 +137,20 @@
         Self {
             inner: Arc::new(Inner {
                 shared: Mutex::new(shared),
-                earlier: Condvar::new(),
+                wake_up: Condvar::new(),
             }),
         }
     }
 
-    /// The present moment.
+    /// The current time.
     #[must_use]
     pub fn now(&self) -> Timestamp {
         self.lock().now()
     }
 
-    /// Milliseconds since the Unix epoch; with a fake clock, since the clock's start.
+    /// Milliseconds since the Unix epoch. With a fake clock, milliseconds since the start of that clock.
     ///
-    /// NB: see [`read_wall_millis`].
+    /// For times that people read only; see [`read_wall_millis`].
     #[must_use]
     pub fn wall_millis(&self) -> u64 {
         match &self.lock().clock {
@@ -158,39 +159,40 @@
         }
     }
 
-    /// One message after `span`.
+    /// A one-shot timer: one message after `delay`.
     #[must_use]
-    pub fn after(&self, span: Duration) -> Receiver<Timestamp> {
-        self.subscribe(span, None)
+    pub fn after(&self, delay: Duration) -> Receiver<Timestamp> {
+        self.subscribe(delay, None)
     }
 
-    /// A message every `period`, the first after one period. Ticks not taken in time are skipped.
+    /// A periodic timer: a message every `period`, the first after one period. Ticks that the subscriber doesn't receive in time are
+    /// skipped.
     #[must_use]
     pub fn every(&self, period: Duration) -> Receiver<Timestamp> {
         self.subscribe(period, Some(period))
     }
 
-    /// Moves a fake clock on and wakes all that became due. Does nothing to a system clock.
-    pub fn advance(&self, span: Duration) {
+    /// Advances a fake clock and fires all timers that became due. Does nothing on a system clock.
+    pub fn advance(&self, duration: Duration) {
         let mut shared = self.lock();
         if let Clock::Fake { now } = &mut shared.clock {
-            *now = *now + span;
+            *now = *now + duration;
             let now = *now;
             shared.fire_due(now);
         }
     }
 
-    /// Ends the service's thread. Subscribers get no further messages.
+    /// Stops the thread of the service. Subscribers get no further messages.
     pub fn stop(&self) {
         self.lock().stopped = true;
-        self.inner.earlier.notify_all();
+        self.inner.wake_up.notify_all();
     }
 
-    fn subscribe(&self, span: Duration, period: Option<Duration>) -> Receiver<Timestamp> {
+    fn subscribe(&self, delay: Duration, period: Option<Duration>) -> Receiver<Timestamp> {
         let (tx, rx) = flume::bounded(1);
         let mut shared = self.lock();
-        let due = shared.now() + span;
-        let first = shared
+        let due = shared.now() + delay;
+        let is_first = shared
             .queue
             .peek()
             .is_none_or(|Reverse(first)| due < first.due);
@@ -203,8 +205,8 @@
             tx,
         }));
         drop(shared);
-        if first {
-            self.inner.earlier.notify_all();
+        if is_first {
+            self.inner.wake_up.notify_all();
         }
         rx
     }
@@ -227,12 +229,12 @@
             .peek()
             .map(|Reverse(first)| first.due.since(now));
         shared = match wait {
-            Some(span) => {
-                let waited = inner.earlier.wait_timeout(shared, span);
+            Some(delay) => {
+                let waited = inner.wake_up.wait_timeout(shared, delay);
                 waited.unwrap_or_else(PoisonError::into_inner).0
             }
             None => inner
-                .earlier
+                .wake_up
                 .wait(shared)
                 .unwrap_or_else(PoisonError::into_inner),
         };
@@ -255,7 +257,7 @@
     }
 
     #[test]
-    fn every_skips_ticks_not_taken() {
+    fn every_skips_missed_ticks() {
         let timers = TimerService::fake();
         let rx = timers.every(Duration::from_millis(10));
         timers.advance(Duration::from_millis(35));
