--- a/src/protocol/outcome.rs
+++ b/src/protocol/outcome.rs
@@ -32,7 +32,8 @@
     /// No connection could be opened, or it ended before any byte of the request was written to it.
     NotSent,
     /// The local upstream of the node that was asked belongs to another service.
-    UnknownClass,
+    #[serde(rename = "unknown_class")]
+    ServiceMismatch,
     /// The attempt is a retry, and the calls that it would make again exceed the retry budget that operators allow.
     #[serde(rename = "repeats_spent")]
     RetryBudgetExhausted,
@@ -50,7 +51,7 @@
             Self::Draining
                 | Self::Evacuated
                 | Self::UpstreamDown
-                | Self::UnknownClass
+                | Self::ServiceMismatch
                 | Self::NotSent
         )
     }
--- a/src/proxy/executing.rs
+++ b/src/proxy/executing.rs
@@ -155,7 +155,7 @@
     let upstream = core.local_upstream.borrow();
     match upstream.current() {
         None => Some(RefusalReason::UpstreamDown),
-        Some(current) if current.service != hop.service => Some(RefusalReason::UnknownClass),
+        Some(current) if current.service != hop.service => Some(RefusalReason::ServiceMismatch),
         Some(current) if current.leaving => Some(RefusalReason::Draining),
         Some(_) if core.timers.now() < core.slots.paused_until.get() => {
             Some(RefusalReason::UpstreamDown)
