--- a/src/proxy/directory.rs
+++ b/src/proxy/directory.rs
@@ -101,7 +101,7 @@
 
     /// Position of the configuration topic from which to read, given the table in force; none if it is not known.
     #[must_use]
-    pub fn configuration_resume_offset(&self) -> Option<u64> {
+    pub fn configuration_resume_position(&self) -> Option<u64> {
         let known = self.stored_table;
         known
             .filter(|table| table.version <= self.version())
--- a/src/proxy/evacuating.rs
+++ b/src/proxy/evacuating.rs
@@ -40,7 +40,7 @@
     evacuations: RefCell<Evacuations>,
     /// Last position reported by each node, packed.
     positions: RefCell<BTreeMap<SocketAddr, u64>>,
-    rounds: RefCell<OfferRounds<u64>>,
+    offer_rounds: RefCell<OfferRounds<u64>>,
 }
 
 impl EvacuationsInForce {
@@ -197,10 +197,11 @@
     let in_force = &core.evacuations;
     let changed_at = in_force.evacuations.borrow().changed_at();
     let ring: Vec<RingNode> = core.list_ring(|address| in_force.has_last_change(address));
-    let receivers = in_force
-        .rounds
-        .borrow_mut()
-        .plan_checks(changed_at, &ring, core.timers.now());
+    let receivers =
+        in_force
+            .offer_rounds
+            .borrow_mut()
+            .plan_checks(changed_at, &ring, core.timers.now());
     for to in receivers {
         let core = Rc::clone(core);
         spawn_local(async move { send_directly(&core, to).await });
--- a/src/proxy/events/lines.rs
+++ b/src/proxy/events/lines.rs
@@ -45,9 +45,9 @@
     started: Timestamp,
     rules: LineRules,
     next_seq: Cell<u64>,
-    important: RefCell<RateLimit>,
-    ordinary: RefCell<RateLimit>,
-    dropped: Cell<u64>,
+    important_limit: RefCell<RateLimit>,
+    ordinary_limit: RefCell<RateLimit>,
+    dropped_lines: Cell<u64>,
     kept_lines: RefCell<VecDeque<(u64, String)>>,
 }
 
@@ -60,9 +60,15 @@
             started,
             rules,
             next_seq: Cell::new(1),
-            important: RefCell::new(RateLimit::new(IMPORTANT_LINE_RATE.0, IMPORTANT_LINE_RATE.1)),
-            ordinary: RefCell::new(RateLimit::new(ORDINARY_LINE_RATE.0, ORDINARY_LINE_RATE.1)),
-            dropped: Cell::default(),
+            important_limit: RefCell::new(RateLimit::new(
+                IMPORTANT_LINE_RATE.0,
+                IMPORTANT_LINE_RATE.1,
+            )),
+            ordinary_limit: RefCell::new(RateLimit::new(
+                ORDINARY_LINE_RATE.0,
+                ORDINARY_LINE_RATE.1,
+            )),
+            dropped_lines: Cell::default(),
             kept_lines: RefCell::default(),
         }
     }
@@ -80,11 +86,11 @@
         }
         if !self.admit(severity, now) {
             if severity != Severity::Ordinary {
-                self.dropped.set(self.dropped.get() + 1);
+                self.dropped_lines.set(self.dropped_lines.get() + 1);
             }
             return;
         }
-        let lines = self.dropped.take();
+        let lines = self.dropped_lines.take();
         if lines > 0 {
             self.emit(
                 Severity::Important,
@@ -98,8 +104,10 @@
     /// Counts one line against the rate limit of its severity. Returns whether it may be written.
     pub fn admit(&self, severity: Severity, now: Timestamp) -> bool {
         match severity {
-            Severity::Important | Severity::Late => self.important.borrow_mut().try_acquire(now),
-            Severity::Ordinary => self.ordinary.borrow_mut().try_acquire(now),
+            Severity::Important | Severity::Late => {
+                self.important_limit.borrow_mut().try_acquire(now)
+            }
+            Severity::Ordinary => self.ordinary_limit.borrow_mut().try_acquire(now),
         }
     }
 
--- a/src/proxy/operator_requests.rs
+++ b/src/proxy/operator_requests.rs
@@ -113,7 +113,7 @@
     }
 }
 
-/// The status of the node and of all that it knows.
+/// Status of the node, its upstream, the classes of requests and the other nodes that it knows.
 #[must_use]
 pub fn describe_node(core: &ProxyCore) -> NodeStatus {
     let settings = &core.settings;
@@ -176,14 +176,14 @@
 }
 
 fn list_peers(core: &ProxyCore, directory: &Directory) -> Vec<PeerStatus> {
-    let views = directory.nodes.values();
-    views
-        .filter(|view| view.record.address != core.settings.peers)
-        .map(|view| PeerStatus {
-            node: Some(view.record.name.clone()),
-            operators: view.record.operator_address,
-            leaving: view.record.leaving,
-            failures: view.consecutive_failures,
+    let nodes = directory.nodes.values();
+    nodes
+        .filter(|node| node.record.address != core.settings.peers)
+        .map(|node| PeerStatus {
+            node: Some(node.record.name.clone()),
+            operators: node.record.operator_address,
+            leaving: node.record.leaving,
+            failures: node.consecutive_failures,
         })
         .collect()
 }
--- a/src/proxy/peer_requests.rs
+++ b/src/proxy/peer_requests.rs
@@ -12,7 +12,7 @@
         core::ProxyCore,
         executing::{CompletedAttempt, execute},
         state_sharing::answer_state_message,
-        table_fetching::note_peer_version,
+        table_fetching::record_peer_version,
     },
     state::ablation::Mechanism,
     transport::{
@@ -66,7 +66,7 @@
         .as_ref()
         .and_then(|value| HopAnswer::decode(value.to_str().ok()?))
         .ok_or(SendError::BadAnswer)?;
-    note_peer_version(core, to, answer.version);
+    record_peer_version(core, to, answer.version);
     let response = (answer.outcome == AttemptOutcome::Answered).then_some(response);
     Ok(CompletedAttempt { answer, response })
 }
@@ -124,7 +124,7 @@
     let Some(hop) = hop else {
         return reply_json(StatusCode::BAD_REQUEST, "missing or invalid hop header");
     };
-    note_peer_version(core, hop.sender, hop.version);
+    record_peer_version(core, hop.sender, hop.version);
     let completed = execute(core, &hop, req).await;
     let mut reply = match completed.response {
         Some(response) => strip_connection_headers(response),
--- a/src/proxy/state_messages.rs
+++ b/src/proxy/state_messages.rs
@@ -29,7 +29,7 @@
 const MAX_IDLE_TIME: Duration = Duration::from_secs(1);
 /// Largest body of an answer in bytes. It holds a routing table of some ten thousand routes.
 const MAX_BODY_BYTES: usize = 4 * 1024 * 1024;
-/// Longest time without any byte of an answer to a state message. It covers VMs that are down or whose link is full.
+/// Longest time without any byte of an answer to a state message. Only a VM that is down or whose link is full takes longer.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Sends a message to a few of the receivers, which forward it to the others.
--- a/src/proxy/state_sharing.rs
+++ b/src/proxy/state_sharing.rs
@@ -116,8 +116,8 @@
 }
 
 fn apply_message(core: &Rc<ProxyCore>, mut message: StateMessage) {
-    if let Some(era) = message.lost_in_epoch {
-        request_own_record_rewrite(core, era);
+    if let Some(epoch) = message.lost_in_epoch {
+        request_own_record_rewrite(core, epoch);
     }
     if message.read_store {
         core.become_substitute_reader();
--- a/src/proxy/store_sync.rs
+++ b/src/proxy/store_sync.rs
@@ -41,8 +41,8 @@
 
 /// Interval at which a node that is waiting for its next read checks whether it has become a reader of its zone.
 const ROLE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
-/// Delay before a node that has just become a reader checks its role again and reads. When all nodes restart, they can't reach
-/// each other for some hundred milliseconds; without the delay all of them would read.
+/// Time for which the earlier readers must be unreachable before this node reads in their place. After an outage of all nodes, they
+/// can't reach each other for some hundred milliseconds; without this delay all of them would read.
 const TAKEOVER_DELAY: Duration = Duration::from_millis(500);
 /// Largest number of rejected records that are remembered; the ones with the highest positions are kept.
 const MAX_REMEMBERED_REJECTIONS: usize = 1_000;
@@ -95,18 +95,18 @@
             StoreTopic::Configuration => wait_for_first_table(core).await,
             StoreTopic::Nodes => wait_to_read_records(core).await,
         }
-        let is_received = topic == StoreTopic::Configuration && core.routes().is_some();
+        let has_table = topic == StoreTopic::Configuration && core.routes().is_some();
         // Set if the next read is made at once, with its reason; otherwise it waits until this node is due to read.
-        let mut urgent = (!is_received).then_some(CallReason::Start);
+        let mut immediate_reason = (!has_table).then_some(CallReason::Start);
         loop {
-            let (wait, reason) = match urgent.take() {
+            let (max_wait, reason) = match immediate_reason.take() {
                 Some(reason) => (Duration::ZERO, reason),
                 None => self.wait_for_turn(topic, retries.is_failing()).await,
             };
             let rereads_all = self.read_progress.is_reread_due(core.timers.now());
             let known = next.max(self.get_resume_position(topic));
             let from = known.filter(|_| !rereads_all);
-            match self.read(topic, from, wait, reason).await {
+            match self.read(topic, from, max_wait, reason).await {
                 Ok(records) => {
                     retries.record_success();
                     next = Some(records.next);
@@ -116,11 +116,11 @@
                 Err(StoreError::Deleted | StoreError::EpochChanged) => {
                     next = None;
                     self.clear_resume_position(topic);
-                    urgent = Some(CallReason::Retry);
+                    immediate_reason = Some(CallReason::Retry);
                 }
                 Err(error) => {
                     next = next.or(self.get_resume_position(topic));
-                    urgent = next.is_none().then_some(CallReason::Retry);
+                    immediate_reason = next.is_none().then_some(CallReason::Retry);
                     if retries.should_delegate_reading() && core.is_zone_reader() {
                         delegate_store_reading(core);
                     }
@@ -162,7 +162,7 @@
         &self,
         topic: StoreTopic,
         from: Option<u64>,
-        wait: Duration,
+        max_wait: Duration,
         reason: CallReason,
     ) -> Result<RecordBatch, StoreError> {
         let calls = &self.core.counters.store_calls;
@@ -173,7 +173,7 @@
             }
             Some(from) => {
                 calls.count(StoreCall::ReadFrom, reason);
-                self.store.read_from(topic, from, wait).await
+                self.store.read_from(topic, from, max_wait).await
             }
         }
     }
--- a/src/proxy/store_sync/configuration.rs
+++ b/src/proxy/store_sync/configuration.rs
@@ -20,14 +20,14 @@
     pub(super) fn get_resume_position(&self, topic: StoreTopic) -> Option<u64> {
         match topic {
             StoreTopic::Configuration => {
-                let next = self.core.directory.borrow().configuration_resume_offset();
+                let next = self.core.directory.borrow().configuration_resume_position();
                 next.filter(|next| *next <= self.core.evacuations.position())
             }
             StoreTopic::Nodes => None,
         }
     }
 
-    /// Clears the position that other nodes reported, because the store no longer holds the records from there on.
+    /// Clears the position that other nodes have sent. The store has deleted the records from there on, or was restored from a copy.
     pub(super) fn clear_resume_position(&self, topic: StoreTopic) {
         if topic == StoreTopic::Configuration {
             self.core.directory.borrow_mut().clear_stored_table();
--- a/src/proxy/store_sync/nodes.rs
+++ b/src/proxy/store_sync/nodes.rs
@@ -24,14 +24,15 @@
 use std::collections::HashSet;
 
 impl<S: StateStore> TopicSync<S> {
+    /// Applies the first full read after the store was restored from a copy.
     pub(super) async fn apply_restored_nodes(&self, records: &RecordBatch) {
-        let copy = records.records.iter();
-        let copy: Vec<StoredRecord> = copy
+        let node_records = records.records.iter();
+        let node_records: Vec<StoredRecord> = node_records
             .filter(|record| parse_quarantine_key(&record.key).is_none())
             .filter_map(|record| self.decode_node(record, record.value.as_ref()?))
             .collect();
         let quarantined = list_quarantined(&records.records);
-        apply_restored_records(&self.core, copy, &quarantined, records.next).await;
+        apply_restored_records(&self.core, node_records, &quarantined, records.next).await;
     }
 
     /// Applies records of nodes. After a full read, which gave the newest record of each key, known nodes that the store no
@@ -109,8 +110,8 @@
     fn remove_nodes(&self, is_dropped: impl Fn(&str) -> bool, up_to: u64) {
         let core = &self.core;
         let by_key = |record: &NodeRecord| is_dropped(&self.store.get_node_key(record));
-        let forgotten = core.directory.borrow_mut().remove_dropped(up_to, by_key);
-        for record in forgotten {
+        let removed = core.directory.borrow_mut().remove_dropped(up_to, by_key);
+        for record in removed {
             core.log(&ProxyEvent::NodeForgotten {
                 known: record.name,
                 address: record.address,
@@ -135,8 +136,8 @@
 ) -> Vec<StoredRecord> {
     match own {
         Some(own) if core.is_zone_reader() => {
-            let later = |stored: &StoredRecord| stored.revision > own.revision;
-            read.into_iter().filter(later).collect()
+            let is_later = |stored: &StoredRecord| stored.revision > own.revision;
+            read.into_iter().filter(is_later).collect()
         }
         _ => Vec::new(),
     }
--- a/src/proxy/table_fetching.rs
+++ b/src/proxy/table_fetching.rs
@@ -22,7 +22,7 @@
 use tokio::task::spawn_local;
 
 /// Records the version that another node reported on a request or an answer, and starts to fetch if it is newer.
-pub fn note_peer_version(core: &Rc<ProxyCore>, from: SocketAddr, version: ConfigurationVersion) {
+pub fn record_peer_version(core: &Rc<ProxyCore>, from: SocketAddr, version: ConfigurationVersion) {
     let (own_version, now) = record_report(core, from, version);
     let is_newer = core
         .table_sources
@@ -152,10 +152,10 @@
 async fn fetch_since(
     core: &Rc<ProxyCore>,
     from: SocketAddr,
-    own_version: ConfigurationVersion,
+    since: ConfigurationVersion,
 ) -> Result<(), ChangeError> {
     let message = StateMessage {
-        changes_since: Some(own_version),
+        changes_since: Some(since),
         has_records: core.has_records(),
         sender: Some(core.settings.peers),
         ..StateMessage::default()
--- a/src/proxy/table_offering.rs
+++ b/src/proxy/table_offering.rs
@@ -24,9 +24,9 @@
         if core.is_zone_reader() || core.is_substitute_reader() {
             offer_along_tree(&core);
         }
-        let due = core.timers.after(CHECK_INTERVAL);
+        let next_check = core.timers.after(CHECK_INTERVAL);
         tokio::select! {
-            _ = due.recv_async() => {
+            _ = next_check.recv_async() => {
                 check_successors(&core);
                 evacuating::check_successors(&core);
             }
@@ -60,19 +60,19 @@
     let version = core.directory.borrow().version();
     let ring = core.list_ring(|address| core.directory.borrow().has_version(address));
     let now = core.timers.now();
-    let due = core
+    let receivers = core
         .offer_rounds
         .borrow_mut()
         .plan_checks(version, &ring, now);
-    if due.is_empty() {
+    if receivers.is_empty() {
         return;
     }
     core.log(&ProxyEvent::TableOffered {
         version: version.0,
         along_tree: 0,
-        directly: due.len(),
+        directly: receivers.len(),
     });
-    for to in due {
+    for to in receivers {
         let core = Rc::clone(core);
         spawn_local(async move { offer_directly(&core, to, version).await });
     }
