--- a/tests/integration/table_spreading.rs
+++ b/tests/integration/table_spreading.rs
@@ -15,7 +15,7 @@
 const FIRST_PUBLISHED_AT: Timestamp = Timestamp(1_000_000);
 /// Longest allowed time from the first node that has a version in force to the last one.
 const MAX_DISTRIBUTION_TIME: Duration = Duration::from_millis(2_500);
-/// The same in a mesh of 870 nodes.
+/// Longest allowed time in the larger meshes, of 300 and of 870 nodes.
 const LARGE_MAX_DISTRIBUTION_TIME: Duration = Duration::from_secs(8);
 /// Time that is simulated after the last publication.
 const TIME_AFTER_LAST_PUBLICATION: Duration = Duration::from_secs(12);
@@ -67,7 +67,7 @@
 /// Result of a simulated publication.
 #[derive(Clone, Copy, Debug, Default)]
 struct Outcome {
-    /// Nodes that are up and lack the version.
+    /// Number of nodes that are up and lack the version.
     lacking: usize,
     /// Time from the first node that had the version in force to the last.
     took: Duration,
@@ -82,7 +82,11 @@
 }
 
 fn evaluate(mesh: &Mesh, version: ConfigurationVersion) -> Outcome {
-    let first = mesh.nodes.iter().filter_map(|node| node.had(version)).min();
+    let first = mesh
+        .nodes
+        .iter()
+        .filter_map(|node| node.in_force_since(version))
+        .min();
     let first = first.expect("a reader has the version");
     let versions = usize::try_from(version.0 - 1).expect("few versions");
     let mut outcome = Outcome::default();
@@ -93,7 +97,7 @@
         if node.is_down() {
             continue;
         }
-        match node.had(version) {
+        match node.in_force_since(version) {
             Some(at) => outcome.took = outcome.took.max(at.since(first)),
             None => outcome.lacking += 1,
         }
--- a/tests/integration/table_spreading/mesh.rs
+++ b/tests/integration/table_spreading/mesh.rs
@@ -66,15 +66,25 @@
 #[derive(Clone, Copy, Debug)]
 pub enum Event {
     Network(NetworkEvent),
+    /// The connection of this call should be open by now.
     ConnectTimeout(usize),
+    /// A part of the answer to this call should have arrived by now.
     AnswerTimeout(usize),
+    /// The called node has processed the request of this call.
     RequestHandled(usize),
+    /// The caller has processed the answer to this call.
     AnswerApplied(usize),
+    /// The wait of this node for an offer, which was set to end at this time, has ended.
     FetchWaitEnded(usize, Timestamp),
+    /// The check of the zone by this node, which was set for this time, is due.
     CheckZone(usize, Timestamp),
+    /// This reader can read this version from the store.
     Read(usize, ConfigurationVersion),
+    /// This reader is lost.
     ReaderLost(usize),
+    /// This node sends a request to another node.
     Request(usize),
+    /// The first node learns that the second has this version.
     Report(usize, usize, ConfigurationVersion),
 }
 
@@ -137,10 +147,10 @@
     }
 
     /// Time at which a version or a newer one came into force.
-    pub fn had(&self, version: ConfigurationVersion) -> Option<Timestamp> {
+    pub fn in_force_since(&self, version: ConfigurationVersion) -> Option<Timestamp> {
         let mut versions = self.in_force.iter();
         versions
-            .find(|(_, versions)| *versions >= version)
+            .find(|(_, in_force)| *in_force >= version)
             .map(|(at, _)| *at)
     }
 }
--- a/tests/integration/table_spreading/network.rs
+++ b/tests/integration/table_spreading/network.rs
@@ -63,9 +63,13 @@
 /// One direction of one step of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Leg {
+    /// The caller opens a connection.
     Open,
+    /// The callee has accepted the connection.
     Opened,
+    /// The caller sends its request.
     Request,
+    /// The callee answers.
     Answer,
 }
 
