--- a/src/protocol/operator_views.rs
+++ b/src/protocol/operator_views.rs
@@ -161,7 +161,7 @@
     pub lines: Vec<String>,
     /// Number of the line after the last one of this page, from which to read on.
     pub next: u64,
-    /// Number of the requested lines that the node no longer holds.
+    /// How many lines, from the requested number on, the node no longer holds.
     pub dropped: u64,
 }
 
--- a/src/transport/callers.rs
+++ b/src/transport/callers.rs
@@ -83,7 +83,7 @@
 /// Limits on what callers may use.
 #[derive(Clone, Copy, Debug)]
 pub struct CallerLimits {
-    /// Most open connections.
+    /// Largest number of open connections.
     pub max_connections: usize,
     /// Time that a caller may take to send a request's head.
     pub head_timeout: Duration,
--- a/src/transport/operators/server.rs
+++ b/src/transport/operators/server.rs
@@ -22,7 +22,7 @@
 /// Longest wait for requests that call the store, such as a publication, which may take several attempts.
 const STORE_REPLY_TIMEOUT: Duration = Duration::from_secs(15);
 /// Largest body of a request, in bytes. A configuration of a hundred services has about 100 KB.
-const OPERATOR_BODY_LIMIT: usize = 1024 * 1024;
+const MAX_BODY_BYTES: usize = 1024 * 1024;
 
 /// Why the server could not be started.
 #[derive(Debug, Error)]
@@ -111,9 +111,9 @@
                 let ask = |reply| OperatorRequest::Health { reply };
                 build_response(&check_method(req, "GET").and_then(|()| self.ask(ask)))
             }
-            "/log" => build_response(&self.find_lines(req)),
+            "/log" => build_response(&self.read_log_lines(req)),
             "/configuration" => build_response(&self.publish(req)),
-            "/history" => build_response(&self.find_history(req)),
+            "/history" => build_response(&self.read_history(req)),
             "/drain" => {
                 let ask = |reply| OperatorRequest::Drain { reply };
                 build_response(&check_method(req, "POST").and_then(|()| self.ask(ask)))
@@ -127,18 +127,19 @@
         if path == "/health" || self.token.accepts(req.header("Authorization")) {
             return Ok(());
         }
-        // The event loop logs this. If its queue is full, the line is missing, but the request is refused all the same.
+        // The event loop logs the refusal. If its queue is full, the log lacks it, but the request is refused too.
         let _ = self.tx.try_send(OperatorRequest::Unauthorized);
         Err(OperatorError::Unauthorized)
     }
 
-    fn find_lines(&self, req: &Request) -> Result<LogPage, OperatorError> {
+    fn read_log_lines(&self, req: &Request) -> Result<LogPage, OperatorError> {
         check_method(req, "GET")?;
         let from = read_parameter(req, "from", "the number of a line")?.unwrap_or(0);
         self.ask(|reply| OperatorRequest::LogLines { from, reply })
     }
 
-    /// The node checks the configuration too, not only the tool: all nodes apply what the store holds.
+    /// Publishes the configuration in the body. The server checks it even if the tool has checked it, because every node
+    /// applies what the store holds.
     fn publish(&self, req: &Request) -> Result<PublicationOutcome, OperatorError> {
         check_method(req, "POST")?;
         let request = read_publication(req)?;
@@ -174,7 +175,7 @@
         })
     }
 
-    fn find_history(&self, req: &Request) -> Result<HistoryView, OperatorError> {
+    fn read_history(&self, req: &Request) -> Result<HistoryView, OperatorError> {
         check_method(req, "GET")?;
         let build = |reply| OperatorRequest::History { reply };
         let answer = self.ask_within(STORE_REPLY_TIMEOUT, build)?;
@@ -227,12 +228,12 @@
     let bad_body = |cause: &dyn ToString| OperatorError::BadBody(cause.to_string());
     let mut body = Vec::new();
     let data = req.data().ok_or_else(|| bad_body(&"it was read already"))?;
-    let limit = OPERATOR_BODY_LIMIT + 1;
+    let limit = MAX_BODY_BYTES + 1;
     data.take(limit as u64)
         .read_to_end(&mut body)
         .map_err(|cause| bad_body(&cause))?;
-    if body.len() > OPERATOR_BODY_LIMIT {
-        return Err(OperatorError::BodyTooLarge(OPERATOR_BODY_LIMIT));
+    if body.len() > MAX_BODY_BYTES {
+        return Err(OperatorError::BodyTooLarge(MAX_BODY_BYTES));
     }
     serde_json::from_slice(&body).map_err(|cause| bad_body(&cause))
 }
--- a/src/transport/outgoing.rs
+++ b/src/transport/outgoing.rs
@@ -127,7 +127,7 @@
 struct IdleConnection {
     connection: Connection,
     since: Timestamp,
-    /// Longest idle time by the other side's `Keep-Alive` header.
+    /// Time after which the connection must not be used any more, from the other side's `Keep-Alive` header.
     keep_alive: Option<Duration>,
 }
 
@@ -215,10 +215,8 @@
         is_answer: impl Fn(&Parts) -> bool,
     ) -> Result<Response<Bytes>, ExchangeError> {
         let sent = connection.tx.try_send_request(req);
-        let head = options
-            .answer_timeouts
-            .map(|answer_timeouts| answer_timeouts.head);
-        let response = match self.wait_at_most(head, sent).await? {
+        let head_timeout = options.answer_timeouts.map(|timeouts| timeouts.head);
+        let response = match self.wait_at_most(head_timeout, sent).await? {
             Ok(response) => response,
             Err(mut error) => {
                 return Err(match error.take_message() {
@@ -243,10 +241,8 @@
     ) -> Result<Bytes, ExchangeError> {
         let mut body = Limited::new(incoming, options.body_limit);
         let mut bytes = BytesMut::new();
-        let body_chunk = options
-            .answer_timeouts
-            .map(|answer_timeouts| answer_timeouts.body_chunk);
-        while let Some(frame) = self.wait_at_most(body_chunk, body.frame()).await? {
+        let chunk_timeout = options.answer_timeouts.map(|timeouts| timeouts.body_chunk);
+        while let Some(frame) = self.wait_at_most(chunk_timeout, body.frame()).await? {
             let frame = frame.map_err(|_| ExchangeError::Failed(SendError::BadAnswer))?;
             if let Ok(data) = frame.into_data() {
                 bytes.extend_from_slice(&data);
@@ -341,7 +337,7 @@
     let stream = TcpStream::connect(address)
         .await
         .map_err(|_| SendError::NotSent)?;
-    set_options(&stream).map_err(|_| SendError::NotSent)?;
+    set_socket_options(&stream).map_err(|_| SendError::NotSent)?;
     let handshake = http1::Builder::new()
         .max_buf_size(MAX_BUFFER_BYTES)
         .handshake(TokioIo::new(stream));
@@ -357,7 +353,7 @@
     })
 }
 
-fn set_options(stream: &TcpStream) -> std::io::Result<()> {
+fn set_socket_options(stream: &TcpStream) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
     let keepalive = TcpKeepalive::new()
