--- a/src/proxy/executing/slowdown.rs
+++ b/src/proxy/executing/slowdown.rs
@@ -37,7 +37,7 @@
     reported_at: Cell<Option<Timestamp>>,
     history: Cell<SlowdownHistory>,
     pending_probe: RefCell<Option<flume::Receiver<()>>>,
-    is_watching: Cell<bool>,
+    is_polling: Cell<bool>,
     /// Keeps the probes within the rate that operators allow.
     budget: Cell<RateLimit>,
 }
@@ -50,7 +50,7 @@
             reported_at: Cell::default(),
             history: Cell::default(),
             pending_probe: RefCell::default(),
-            is_watching: Cell::default(),
+            is_polling: Cell::default(),
             budget: Cell::new(RateLimit::new(
                 probes_per_second,
                 probes_per_second * PROBE_BURST_SECONDS,
@@ -100,7 +100,7 @@
 
     /// Probes repeatedly while requests wait and the VM is slow.
     pub fn probe_while_waiting(&self, core: &Rc<ProxyCore>) {
-        if self.is_watching.replace(true) {
+        if self.is_polling.replace(true) {
             return;
         }
         let core = Rc::clone(core);
@@ -111,7 +111,7 @@
                 let _ = core.timers.after(WAITING_PROBE_INTERVAL).recv_async().await;
                 refresh_slowdown(&core).await;
             }
-            core.slots.slowdown.is_watching.set(false);
+            core.slots.slowdown.is_polling.set(false);
         });
     }
 }
