--- a/src/coordination/offer_rounds.rs
+++ b/src/coordination/offer_rounds.rs
@@ -1,5 +1,5 @@
-//! Choice of the nodes of its zone that a node offers a new version to, in addition to forwarding the offers of others. A version
-//! is that of the routing table, or the store position of the last change of an evacuation.
+//! Decides which nodes of its zone a node offers a new version to, apart from forwarding the offers that it receives. A version is
+//! that of the routing table, or the store position of the last change of an evacuation.
 //!
 //! A reader of the store offers a new version along a distribution tree, however the reader received it. An offer may be lost: a
 //! node fails after it has accepted the offer for its part of the tree, or a node is temporarily unreachable, or not known yet. A
--- a/src/coordination/placement.rs
+++ b/src/coordination/placement.rs
@@ -1,8 +1,8 @@
 //! Order in which an entry node asks the nodes of a service for a slot.
 //!
-//! The reported load of other nodes is outdated on arrival, since load changes within milliseconds. So an entry node sends a
-//! request only for a slot that is free immediately; a refusal costs one message in each direction and proves that the request
-//! wasn't executed. Only after no node had a free slot does a request wait, in the queue with the shortest wait.
+//! The reported load of other nodes is outdated on arrival, since load changes within milliseconds. So an entry node asks only for
+//! a slot that is free immediately; a refusal costs one message in each direction and proves that the request wasn't executed. A
+//! request waits only after no node had a free slot, in the queue with the shortest wait.
 
 use crate::state::{
     ablation::Mechanism,
--- a/src/coordination/slot_queue.rs
+++ b/src/coordination/slot_queue.rs
@@ -8,9 +8,9 @@
 //! requests try other nodes meanwhile.
 //!
 //! Load pattern: for seconds, more requests arrive than can be executed, so most of those that wait would finish late, and in
-//! order of arrival all of them would. So a request that can't finish within its latency target is never started before one of its
-//! priority that can. It waits only if such requests have recently got slots; otherwise it is refused at once, while its client
-//! still has time to do something else.
+//! order of arrival all of them would. So a request that can't finish within its latency target is never started before a request
+//! of the same priority that can. It waits only if late requests have recently got slots; otherwise it is refused at once, while
+//! its client still has time to do something else.
 
 mod forecast;
 mod late_start_share;
@@ -68,6 +68,7 @@
     Expire(SlotNumber),
 }
 
+/// Request that waits in the queue.
 #[derive(Clone, Copy, Debug)]
 struct Waiting {
     number: SlotNumber,
--- a/src/coordination/slow_start.rs
+++ b/src/coordination/slow_start.rs
@@ -16,13 +16,13 @@
 /// Minimum time between the end of a node process and the start of the next one on the same VM.
 const MIN_RESTART_PAUSE: Duration = Duration::from_millis(100);
 
-/// Factor and slack by which the requests that a cold upstream gets within any second may differ from the rate that its service
-/// tolerates.
+/// Factor and slack that turn the request rate that a service tolerates while cold into the limit for any second, set by the
+/// operators.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SlowStartRules {
     /// Factor applied to the tolerated rate.
     pub overage: f64,
-    /// Number of requests added to the result.
+    /// Number of requests added to the product.
     pub slack: f64,
 }
 
--- a/src/coordination/store_reading.rs
+++ b/src/coordination/store_reading.rs
@@ -2,8 +2,8 @@
 //!
 //! Each call to the store costs money, so two nodes of each availability zone read it continuously and notify the other nodes of
 //! their zone; bytes within a zone are free. The readers aren't elected: each node works out the readers from the nodes it knows.
-//! Two nodes that know different nodes may both read, or neither. The latter is compensated by the infrequent reads of all other
-//! nodes and by the versions that requests between nodes carry.
+//! Two nodes that know different nodes may both read, or neither. If neither does, the infrequent reads of all other nodes and the
+//! versions that requests between nodes carry make up for it.
 
 use crate::{protocol::store::StoreTopic, state::ablation::Mechanism};
 use std::{
@@ -12,9 +12,9 @@
     time::Duration,
 };
 
-/// Maximum wait of one long-poll read of the configuration by the first reader of a zone. The store may lose a read that arrives
-/// while it is unavailable, and both readers start a new read when a change arrives; the next change must come into force in time
-/// nevertheless.
+/// Maximum wait of one long-poll read of the configuration by the first reader of a zone. A read that arrives while the store is
+/// unavailable may be lost, and it ends only after this time. Both readers start a new read when a change arrives, so both reads
+/// may be lost at once; the next change must come into force in time nevertheless.
 const FIRST_READER_CONFIGURATION_WAIT: Duration = Duration::from_millis(1_700);
 /// Maximum wait of one long-poll read of the node records by the first reader.
 const FIRST_READER_RECORDS_WAIT: Duration = Duration::from_secs(4);
