--- a/src/coordination/slow_start.rs
+++ b/src/coordination/slow_start.rs
@@ -1,8 +1,8 @@
 //! Limit on the requests that an upstream gets while it warms up.
 //!
-//! A cold upstream tolerates a limited request rate and crashes well above it. All requests reach it through its local node, so
-//! this node counts the starts of the last second. It also counts while the upstream is warm: the upstream may become cold at any
-//! time, and earlier starts within the same second count towards the limit.
+//! An upstream is cold until its warmup ends. A cold upstream tolerates a limited request rate and crashes well above it. All
+//! requests reach it through its local node, so this node counts the starts of the last second. It also counts while the upstream
+//! is warm: the upstream may become cold at any time, and earlier starts within the same second count towards the limit.
 //!
 //! Load pattern: all upstreams restart cold at once, and the requests queued meanwhile would start in one burst.
 
