--- a/src/commands/dev.rs
+++ b/src/commands/dev.rs
@@ -14,7 +14,7 @@
     options::exit_code::ExitCode,
 };
 use bpaf::Bpaf;
-use deployments::{booking_deployments, call_kinds};
+use deployments::{build_booking_mesh_plan, build_call_kinds};
 use report::DevReport;
 use signal_hook::{
     consts::{SIGINT, SIGTERM},
@@ -94,7 +94,7 @@
     arguments: &DevArguments,
     out: &mut dyn Write,
 ) -> io::Result<Result<Option<DevReport>, DevError>> {
-    let plan = booking_deployments(arguments.seed);
+    let plan = build_booking_mesh_plan(arguments.seed);
     let mesh = match start_ready(&plan) {
         Ok(mesh) => mesh,
         Err(error) => return Ok(Err(error)),
@@ -106,7 +106,7 @@
         return Ok(wait_for_signal().map(|()| None));
     }
     let load = LoadPlan {
-        kinds: call_kinds(&plan.configuration),
+        kinds: build_call_kinds(&plan.configuration),
         entries: mesh.caller_addresses(),
         rate: arguments.load.unwrap_or(DEFAULT_LOAD),
         span: Duration::from_secs(arguments.seconds.unwrap_or(DEFAULT_SECONDS)),
--- a/src/commands/dev/deployments.rs
+++ b/src/commands/dev/deployments.rs
@@ -19,7 +19,7 @@
 
 /// Two services with three availability zones each.
 #[must_use]
-pub fn booking_deployments(seed: u64) -> MeshPlan {
+pub fn build_booking_mesh_plan(seed: u64) -> MeshPlan {
     let frontdesk = ServicePlan {
         service: ServiceName::from("frontdesk"),
         upstreams: 6,
@@ -44,7 +44,7 @@
     let mut nodes = frontdesk.nodes(seed.wrapping_add(1));
     nodes.extend(dock.nodes(seed.wrapping_add(2)));
     MeshPlan {
-        configuration: booking_configuration(),
+        configuration: build_booking_configuration(),
         nodes,
     }
 }
@@ -63,7 +63,7 @@
 
 /// The classes of both services.
 #[must_use]
-pub fn booking_configuration() -> Configuration {
+pub fn build_booking_configuration() -> Configuration {
     let services = ["frontdesk", "dock"].map(|name| ServiceEntry {
         name: name.into(),
         health_path: arcstr::literal!("/health"),
@@ -106,7 +106,7 @@
 
 /// A kind of call for every class, reads four times as often as writes.
 #[must_use]
-pub fn call_kinds(configuration: &Configuration) -> Vec<CallKind> {
+pub fn build_call_kinds(configuration: &Configuration) -> Vec<CallKind> {
     let build = |class: &ClassEntry| CallKind {
         class: class.name.clone(),
         host: class.host.clone(),
--- a/src/commands/explain.rs
+++ b/src/commands/explain.rs
@@ -3,10 +3,10 @@
 use crate::{
     commands::{log_source::SourceArguments, timeline::page::write_page},
     log_reading::{
+        description::NodeNames,
+        incarnations::NodeIncarnation,
         order::{TimedLine, order_lines},
-        request_story::{RequestStory, StoryStep, tell_request},
-        runs::NodeRun,
-        sentence::NodeNames,
+        request_trace::{RequestTrace, TraceStep, trace_request},
     },
     options::{
         access::{AccessArguments, access_arguments},
@@ -48,10 +48,10 @@
         access: arguments.access.clone(),
         files: arguments.files.clone(),
     };
-    let Some(collected) = source.collect_or_tell()? else {
+    let Some(collected) = source.collect_or_report()? else {
         return Ok(ExitCode::BadInput);
     };
-    let story = tell_request(&collected.read.runs, &arguments.request);
+    let story = trace_request(&collected.read.runs, &arguments.request);
     if let Some(path) = &arguments.html {
         write_story_page(path, &collected.read.runs, &arguments.request)?;
     }
@@ -68,7 +68,7 @@
     })
 }
 
-fn write_story(story: &RequestStory, out: &mut dyn Write) -> io::Result<()> {
+fn write_story(story: &RequestTrace, out: &mut dyn Write) -> io::Result<()> {
     if story.steps.is_empty() {
         writeln!(out, "No line tells of request {}.", story.request)?;
         return writeln!(
@@ -105,7 +105,7 @@
     Ok(())
 }
 
-fn write_steps(steps: &[StoryStep], out: &mut dyn Write) -> io::Result<()> {
+fn write_steps(steps: &[TraceStep], out: &mut dyn Write) -> io::Result<()> {
     for step in steps {
         writeln!(
             out,
@@ -119,7 +119,7 @@
     Ok(())
 }
 
-fn write_story_page(path: &Path, runs: &[NodeRun], request: &str) -> io::Result<()> {
+fn write_story_page(path: &Path, runs: &[NodeIncarnation], request: &str) -> io::Result<()> {
     let lines: Vec<TimedLine> = order_lines(runs)
         .into_iter()
         .filter(|timed| timed.line.request() == Some(request))
--- a/src/commands/history.rs
+++ b/src/commands/history.rs
@@ -1,7 +1,7 @@
 //! `camphorturn history`: who published what, when and why.
 
 use crate::{
-    commands::publish::ask_first,
+    commands::publish::query_first,
     options::{
         access::{AccessArguments, OperatorAccess, access_arguments},
         exit_code::ExitCode,
@@ -35,7 +35,7 @@
     out: &mut dyn Write,
 ) -> io::Result<ExitCode> {
     let client = OperatorClient::new(access);
-    let history = match ask_first(access, |node| client.fetch_history(node)) {
+    let history = match query_first(access, |node| client.fetch_history(node)) {
         Ok(history) => history,
         Err(problem) => {
             eprintln!("no history: {problem}");
--- a/src/commands/log_source.rs
+++ b/src/commands/log_source.rs
@@ -1,8 +1,8 @@
 //! Where the lines come from that a command reads: files, standard input, or nodes that run.
 
 use crate::{
-    commands::mesh::{MeshSurvey, ask_all, survey_nodes},
-    log_reading::runs::{ReadLines, split_runs},
+    commands::mesh::{MeshSurvey, query_all, survey_nodes},
+    log_reading::incarnations::{ParsedLog, split_incarnations},
     options::access::{AccessArguments, AccessError, access_arguments},
     protocol::operator_views::LogPage,
     transport::operators::client::{OperatorClient, OperatorClientError},
@@ -52,18 +52,18 @@
 #[derive(Clone, Debug, Default)]
 pub struct CollectedLines {
     /// The lines by run.
-    pub read: ReadLines,
+    pub read: ParsedLog,
     /// Nodes that could not be asked, with the reason.
     pub unreached: Vec<String>,
     /// Lines that nodes no longer hold.
     pub dropped: u64,
     /// Lines that no node numbered, with their places.
-    pub passed_over: Vec<PassedLine>,
+    pub passed_over: Vec<UnrecognizedLine>,
 }
 
 /// A line that no node numbered.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct PassedLine {
+pub struct UnrecognizedLine {
     /// The file, `standard input`, or the address of the node.
     pub source: String,
     /// Number of the line there, from 1.
@@ -81,7 +81,7 @@
 impl SourceArguments {
     /// Whether lines come from nodes that run.
     #[must_use]
-    pub fn asks_nodes(&self) -> bool {
+    pub fn reads_from_nodes(&self) -> bool {
         !self.access.nodes.is_empty()
     }
 
@@ -89,10 +89,10 @@
     ///
     /// # Errors
     /// If that can't be written.
-    pub fn collect_or_tell(&self) -> io::Result<Option<CollectedLines>> {
+    pub fn collect_or_report(&self) -> io::Result<Option<CollectedLines>> {
         match self.collect() {
             Ok(collected) => {
-                collected.tell_missing()?;
+                collected.report_missing()?;
                 Ok(Some(collected))
             }
             Err(error) => {
@@ -107,7 +107,7 @@
     /// # Errors
     /// If a file can't be read, or the arguments don't say how to reach nodes.
     pub fn collect(&self) -> Result<CollectedLines, SourceError> {
-        if self.asks_nodes() {
+        if self.reads_from_nodes() {
             return Ok(NodeLines::new(&self.access)?.collect());
         }
         let texts = match self.files.as_slice() {
@@ -134,7 +134,7 @@
     ///
     /// # Errors
     /// If standard error can't be written to.
-    pub fn tell_missing(&self) -> io::Result<()> {
+    pub fn report_missing(&self) -> io::Result<()> {
         let mut err = io::stderr().lock();
         for node in &self.unreached {
             writeln!(err, "not reached: {node}")?;
@@ -152,7 +152,7 @@
 
     fn read_all(&mut self, sources: &[SourceLines<'_>]) {
         let lines = sources.iter().flat_map(|source| &source.lines);
-        self.read = split_runs(lines.copied());
+        self.read = split_incarnations(lines.copied());
         let places = self.read.other_places.iter();
         self.passed_over = places
             .filter_map(|place| find_line(sources, *place))
@@ -161,10 +161,10 @@
 }
 
 /// The line at a position in all sources together.
-fn find_line(sources: &[SourceLines<'_>], mut place: usize) -> Option<PassedLine> {
+fn find_line(sources: &[SourceLines<'_>], mut place: usize) -> Option<UnrecognizedLine> {
     for source in sources {
         if let Some(text) = source.lines.get(place) {
-            return Some(PassedLine {
+            return Some(UnrecognizedLine {
                 source: source.source.clone(),
                 line: place + 1,
                 text: (*text).to_owned(),
@@ -222,7 +222,7 @@
         };
         let addresses: Vec<SocketAddr> = survey.reached.iter().map(|node| node.address).collect();
         let mut texts = Vec::new();
-        for (address, answer) in ask_all(&addresses, |address| self.read_node(address)) {
+        for (address, answer) in query_all(&addresses, |address| self.read_node(address)) {
             match answer {
                 Ok(page) => {
                     self.next.insert(address, page.next);
--- a/src/commands/logs.rs
+++ b/src/commands/logs.rs
@@ -23,7 +23,7 @@
 /// # Errors
 /// If `out` can't be written to.
 pub fn run_logs(arguments: &LogsArguments, out: &mut dyn Write) -> io::Result<ExitCode> {
-    let Some(collected) = arguments.source.collect_or_tell()? else {
+    let Some(collected) = arguments.source.collect_or_report()? else {
         return Ok(ExitCode::BadInput);
     };
     let runs = &collected.read.runs;
--- a/src/commands/mesh.rs
+++ b/src/commands/mesh.rs
@@ -83,7 +83,7 @@
     while !leads.is_empty() {
         asked.extend(leads.keys().copied());
         let addresses: Vec<SocketAddr> = leads.keys().copied().collect();
-        let answers = ask_all(&addresses, |address| client.fetch_status(address));
+        let answers = query_all(&addresses, |address| client.fetch_status(address));
         let found = take_answers(&mut survey, &leads, answers);
         leads = found
             .into_iter()
@@ -142,7 +142,7 @@
 }
 
 /// Asks each address, several at once, and returns the answers in the order of the addresses.
-pub fn ask_all<T, F>(addresses: &[SocketAddr], ask: F) -> Vec<(SocketAddr, T)>
+pub fn query_all<T, F>(addresses: &[SocketAddr], ask: F) -> Vec<(SocketAddr, T)>
 where
     T: Send,
     F: Fn(SocketAddr) -> T + Sync,
--- a/src/commands/misses.rs
+++ b/src/commands/misses.rs
@@ -4,7 +4,7 @@
 
 use crate::{
     commands::{
-        log_source::{CollectedLines, PassedLine, SourceArguments, source_arguments},
+        log_source::{CollectedLines, SourceArguments, UnrecognizedLine, source_arguments},
         misses::text::write_report,
     },
     log_reading::misses::{MissReport, breakdown::Sampling, report_misses},
@@ -63,7 +63,7 @@
     /// Lines that nodes no longer hold.
     forgotten_lines: u64,
     /// Lines that no node numbered.
-    passed_over: &'a [PassedLine],
+    passed_over: &'a [UnrecognizedLine],
 }
 
 /// Shows which requests were not served on time.
@@ -71,7 +71,7 @@
 /// # Errors
 /// If `out` can't be written to.
 pub fn run_misses(arguments: &MissesArguments, out: &mut dyn Write) -> io::Result<ExitCode> {
-    let Some(collected) = arguments.source.collect_or_tell()? else {
+    let Some(collected) = arguments.source.collect_or_report()? else {
         return Ok(ExitCode::BadInput);
     };
     write_passed(&collected.passed_over)?;
@@ -110,9 +110,9 @@
 }
 
 /// Names the places of lines that were passed over, so that a damaged one can be looked up.
-fn write_passed(passed: &[PassedLine]) -> io::Result<()> {
+fn write_passed(passed: &[UnrecognizedLine]) -> io::Result<()> {
     let mut err = io::stderr().lock();
-    for PassedLine { source, line, text } in passed.iter().take(SHOWN_PASSED) {
+    for UnrecognizedLine { source, line, text } in passed.iter().take(SHOWN_PASSED) {
         let start = text.chars().take(SHOWN_TEXT).map(show_character);
         let start: String = start.collect();
         writeln!(err, "  {source}:{line}: {start}")?;
--- a/src/commands/publish.rs
+++ b/src/commands/publish.rs
@@ -2,7 +2,7 @@
 
 mod in_force;
 
-pub use in_force::{InForceReport, NodeAnswer, wait_in_force};
+pub use in_force::{InForceReport, NodeAnswer, wait_until_in_force};
 
 use crate::{
     coordination::publishing::{PublicationOutcome, PublicationRequest},
@@ -183,7 +183,7 @@
     timers: &TimerService,
 ) -> PublishReport {
     let client = OperatorClient::new(access);
-    let outcome = ask_first(access, |node| client.publish(node, request));
+    let outcome = query_first(access, |node| client.publish(node, request));
     let outcome = outcome.unwrap_or_else(|problem| describe_failure(&problem));
     let version = match outcome {
         PublicationOutcome::Accepted { version, .. }
@@ -192,7 +192,7 @@
     };
     let nodes = arguments.wait.zip(version).map(|(seconds, version)| {
         let limit = Duration::from_secs(seconds.into());
-        wait_in_force(&client, &access.nodes, version, limit, timers)
+        wait_until_in_force(&client, &access.nodes, version, limit, timers)
     });
     PublishReport {
         id: request.id,
@@ -218,7 +218,7 @@
 ///
 /// # Errors
 /// The problem of the last node asked.
-pub fn ask_first<T>(
+pub fn query_first<T>(
     access: &OperatorAccess,
     ask: impl Fn(SocketAddr) -> Result<T, OperatorClientError>,
 ) -> Result<T, OperatorClientError> {
--- a/src/commands/publish/in_force.rs
+++ b/src/commands/publish/in_force.rs
@@ -85,7 +85,7 @@
 
 /// Asks all nodes until each has `version` or the time is up.
 #[must_use]
-pub fn wait_in_force(
+pub fn wait_until_in_force(
     client: &OperatorClient,
     seeds: &[SocketAddr],
     version: ConfigurationVersion,
--- a/src/commands/timeline.rs
+++ b/src/commands/timeline.rs
@@ -14,8 +14,8 @@
         },
     },
     log_reading::{
+        description::NodeNames,
         order::{TimedLine, order_lines},
-        sentence::NodeNames,
     },
     options::exit_code::ExitCode,
     timers::TimerService,
@@ -61,7 +61,7 @@
     if arguments.follow {
         return follow(arguments, timers, out);
     }
-    let Some(collected) = arguments.source.collect_or_tell()? else {
+    let Some(collected) = arguments.source.collect_or_report()? else {
         return Ok(ExitCode::BadInput);
     };
     show(arguments, &collected, out)?;
@@ -83,7 +83,7 @@
     };
     for _ in timers.every(FOLLOW_PERIOD) {
         let collected = nodes.collect();
-        collected.tell_missing()?;
+        collected.report_missing()?;
         show(arguments, &collected, out)?;
     }
     Ok(ExitCode::Success)
--- a/src/commands/timeline/page.rs
+++ b/src/commands/timeline/page.rs
@@ -3,8 +3,8 @@
 use crate::{
     commands::timeline::text::format_time_of_day,
     log_reading::{
+        description::{NodeNames, describe_line},
         order::TimedLine,
-        sentence::{NodeNames, describe_line},
     },
 };
 use std::{
--- a/src/commands/timeline/text.rs
+++ b/src/commands/timeline/text.rs
@@ -1,8 +1,8 @@
 //! Lines of logs as text for people and as JSON for programs.
 
 use crate::log_reading::{
+    description::{NodeNames, describe_line},
     order::TimedLine,
-    sentence::{NodeNames, describe_line},
 };
 use std::io::{self, Write};
 
--- a/src/log_reading.rs
+++ b/src/log_reading.rs
@@ -4,6 +4,8 @@
 
 pub mod cause;
 pub mod clocks;
+pub mod description;
+pub mod incarnations;
 pub mod late_cause;
 pub mod line;
 pub mod matching;
@@ -11,7 +13,5 @@
 pub mod order;
 pub mod outcome;
 pub mod request_lines;
-pub mod request_story;
-pub mod runs;
-pub mod sentence;
+pub mod request_trace;
 pub mod summary;
--- a/src/log_reading/cause.rs
+++ b/src/log_reading/cause.rs
@@ -2,10 +2,10 @@
 
 use crate::{
     log_reading::{
-        line::{LineEnd, LogLine, numbers},
+        description::NodeNames,
+        line::{EndField, LogLine, event_numbers},
         outcome::RequestOutcome,
         request_lines::RequestLines,
-        sentence::NodeNames,
     },
     state::names::NodeName,
 };
@@ -61,7 +61,7 @@
 ) -> Vec<String> {
     let mut causes = match reason {
         "queue_full" | "deadline_too_short" | "deadline_passed" => explain_no_slot(end, lines),
-        "draining" if has_belief(lines, numbers::STOP_REQUESTED, &end.node) => vec![format!(
+        "draining" if has_belief(lines, event_numbers::STOP_REQUESTED, &end.node) => vec![format!(
             "{} was stopping and took no further requests.",
             end.node
         )],
@@ -145,16 +145,16 @@
     for line in &lines.returned {
         let node = names.find(line.text("to"));
         match line.end() {
-            LineEnd::Unknown("node_lost") => causes.push(explain_lost_node(node, lines)),
-            LineEnd::Unknown("upstream_cut") => causes.push(format!(
+            EndField::Unknown("node_lost") => causes.push(explain_lost_node(node, lines)),
+            EndField::Unknown("upstream_cut") => causes.push(format!(
                 "The upstream beside {node} closed the connection without an answer{}.",
                 name_instance(line, lines)
             )),
-            LineEnd::Unknown("upstream_crashed") => causes.push(format!(
+            EndField::Unknown("upstream_crashed") => causes.push(format!(
                 "The upstream beside {node} ended while it ran it{}.",
                 name_instance(line, lines)
             )),
-            LineEnd::Unknown("bad_answer") => causes.push(format!(
+            EndField::Unknown("bad_answer") => causes.push(format!(
                 "The answer of the upstream beside {node} was malformed, cut short, unsigned or another \
                  request's{}.",
                 name_instance(line, lines)
@@ -180,7 +180,7 @@
         .iter()
         .find(|belief| belief.line.node.as_str() == node && tells_of_end(&belief.line));
     match ended {
-        Some(belief) if belief.line.number == numbers::NODE_STARTED => format!(
+        Some(belief) if belief.line.number == event_numbers::NODE_STARTED => format!(
             "{node} was started anew at that time: its former process was killed or lost power with the \
              request under way."
         ),
@@ -195,7 +195,7 @@
 fn tells_of_end(line: &LogLine) -> bool {
     matches!(
         line.number,
-        numbers::NODE_STARTED | numbers::STOP_REQUESTED | numbers::NODE_STOPPED
+        event_numbers::NODE_STARTED | event_numbers::STOP_REQUESTED | event_numbers::NODE_STOPPED
     )
 }
 
@@ -311,7 +311,7 @@
     let unsent = lines
         .returned
         .iter()
-        .filter(|line| line.end() == LineEnd::Other("not_sent"));
+        .filter(|line| line.end() == EndField::Other("not_sent"));
     let mut nodes: Vec<&str> = unsent.map(|line| names.find(line.text("to"))).collect();
     nodes.sort_unstable();
     nodes.dedup();
@@ -329,16 +329,16 @@
     let told = lines.beliefs.iter().filter_map(|belief| {
         let line = &belief.line;
         match line.number {
-            numbers::UPSTREAM_COLD => Some(format!(
+            event_numbers::UPSTREAM_WARMING_UP => Some(format!(
                 "The upstream beside {} was cold and was given at most {} requests a second.",
                 line.node,
                 line.number("limit")
             )),
-            numbers::ZONE_EVACUATED => Some(format!(
+            event_numbers::ZONE_EVACUATED => Some(format!(
                 "The availability zone {} was evacuated at that time.",
                 line.text("zone")
             )),
-            numbers::ZONE_TAKEN_BACK => Some(format!(
+            event_numbers::ZONE_RESTORED => Some(format!(
                 "The availability zone {} was taken back at that time.",
                 line.text("zone")
             )),
--- a/src/log_reading/clocks.rs
+++ b/src/log_reading/clocks.rs
@@ -5,8 +5,8 @@
 //! bounds move the runs against each other until they hold.
 
 use crate::log_reading::{
+    incarnations::NodeIncarnation,
     matching::{MatchedAttempt, as_float},
-    runs::NodeRun,
 };
 use std::collections::BTreeMap;
 
@@ -25,7 +25,7 @@
 
 /// The beginning of each run in milliseconds; of one without any time of day, 0.
 #[must_use]
-pub fn align_runs(runs: &[NodeRun], attempts: &[MatchedAttempt]) -> Vec<f64> {
+pub fn align_clocks(runs: &[NodeIncarnation], attempts: &[MatchedAttempt]) -> Vec<f64> {
     let mut begins: Vec<f64> = runs.iter().map(estimate_begin).collect();
     let bounds = collect_bounds(attempts);
     for _ in 0..PASSES {
@@ -41,7 +41,7 @@
 }
 
 /// The median over the lines: a jump of the time of day shifts some of them, seldom half.
-fn estimate_begin(run: &NodeRun) -> f64 {
+fn estimate_begin(run: &NodeIncarnation) -> f64 {
     let lines = run.lines.iter();
     let mut begins: Vec<f64> = lines
         .filter_map(|line| Some(as_float(line.wall_ms?) - as_float(line.up_ms)))
--- a/src/log_reading/sentence.rs
+++ b/src/log_reading/description.rs
@@ -1,9 +1,9 @@
 //! What a line says, in one sentence.
 
 use crate::log_reading::{
-    line::{LogLine, numbers},
+    incarnations::NodeIncarnation,
+    line::{LogLine, event_numbers},
     matching::find_addresses,
-    runs::NodeRun,
 };
 use serde_json::Value;
 use std::{collections::HashMap, fmt::Write};
@@ -15,7 +15,7 @@
 impl NodeNames {
     /// The names that the lines tell.
     #[must_use]
-    pub fn collect(runs: &[NodeRun]) -> Self {
+    pub fn collect(runs: &[NodeIncarnation]) -> Self {
         let addresses = find_addresses(runs).into_iter();
         Self(
             addresses
@@ -35,16 +35,16 @@
 #[must_use]
 pub fn describe_line(line: &LogLine, names: &NodeNames) -> String {
     match line.number {
-        numbers::REQUEST_ENDED => describe_request(line),
-        numbers::ATTEMPT_RETURNED => describe_returned(line, names),
-        numbers::ATTEMPT_EXECUTED => describe_executed(line, names),
-        numbers::NODE_UNREACHABLE => format!(
+        event_numbers::REQUEST_ENDED => describe_request(line),
+        event_numbers::ATTEMPT_RETURNED => describe_returned(line, names),
+        event_numbers::ATTEMPT_EXECUTED => describe_executed(line, names),
+        event_numbers::NODE_UNREACHABLE => format!(
             "could not reach {}, {} times in a row; asks it again after {} ms",
             names.find(line.text("to")),
             line.number("failures"),
             line.number("pause_ms")
         ),
-        numbers::NODE_KNOWN => format!(
+        event_numbers::NODE_KNOWN => format!(
             "learned of {} at {}: upstream {} of {}{}",
             line.text("known"),
             line.text("address"),
--- a/src/log_reading/runs.rs
+++ b/src/log_reading/incarnations.rs
@@ -5,7 +5,7 @@
 
 /// One run of a node's process.
 #[derive(Clone, Debug)]
-pub struct NodeRun {
+pub struct NodeIncarnation {
     /// The node.
     pub node: NodeName,
     /// Its lines, as written.
@@ -14,9 +14,9 @@
 
 /// Parsed input.
 #[derive(Clone, Debug, Default)]
-pub struct ReadLines {
+pub struct ParsedLog {
     /// Runs, by node and then as they followed each other.
-    pub runs: Vec<NodeRun>,
+    pub runs: Vec<NodeIncarnation>,
     /// Lines that are no numbered lines of a node.
     pub other_lines: usize,
     /// Their positions in the input, from 0 and with empty lines counted.
@@ -28,9 +28,9 @@
 ///
 /// A restarted process counts its lines from the beginning: that is how its run is told from the one
 /// before, since the time of day may jump in either direction.
-pub fn split_runs<'a>(texts: impl Iterator<Item = &'a str>) -> ReadLines {
-    let mut read = ReadLines::default();
-    let mut by_node: BTreeMap<NodeName, Vec<NodeRun>> = BTreeMap::new();
+pub fn split_incarnations<'a>(texts: impl Iterator<Item = &'a str>) -> ParsedLog {
+    let mut read = ParsedLog::default();
+    let mut by_node: BTreeMap<NodeName, Vec<NodeIncarnation>> = BTreeMap::new();
     let filled = texts
         .enumerate()
         .filter(|(_, text)| !text.trim().is_empty());
@@ -48,7 +48,7 @@
         if goes_on && let Some(run) = runs.last_mut() {
             run.lines.push(line);
         } else {
-            runs.push(NodeRun {
+            runs.push(NodeIncarnation {
                 node: line.node.clone(),
                 lines: vec![line],
             });
--- a/src/log_reading/late_cause.rs
+++ b/src/log_reading/late_cause.rs
@@ -1,9 +1,9 @@
 //! What a late request spent most of its time with.
 
 use crate::log_reading::{
-    line::{LineEnd, LogLine},
+    description::NodeNames,
+    line::{EndField, LogLine},
     request_lines::RequestLines,
-    sentence::NodeNames,
 };
 use serde::Serialize;
 
@@ -30,7 +30,7 @@
         let Some(end) = lines.end else {
             return Self::NotTold;
         };
-        if call_ms.is_some_and(|call_ms| is_most(call_ms, end)) {
+        if call_ms.is_some_and(|call_ms| took_most_of_time(call_ms, end)) {
             return Self::CalledOthers;
         }
         // The line on the attempt that was answered may have been left out. The others alone would look as if
@@ -69,11 +69,11 @@
 }
 
 fn is_answered(line: &LogLine) -> bool {
-    matches!(line.end(), LineEnd::Answered(_))
+    matches!(line.end(), EndField::Answered(_))
 }
 
 /// Whether a call took most of the time of the request that it was made for.
 #[must_use]
-pub fn is_most(call_ms: u64, end: &LogLine) -> bool {
+pub fn took_most_of_time(call_ms: u64, end: &LogLine) -> bool {
     call_ms >= end.number("took_ms") / 2
 }
--- a/src/log_reading/line.rs
+++ b/src/log_reading/line.rs
@@ -6,7 +6,7 @@
 use std::{net::SocketAddr, time::UNIX_EPOCH};
 
 /// Numbers of the lines that the reading knows more of than their text. `docs/EVENTS.md` lists all.
-pub mod numbers {
+pub mod event_numbers {
     /// A client's request ended.
     pub const REQUEST_ENDED: u16 = 801;
     /// An entry node learned how an attempt ended.
@@ -14,25 +14,25 @@
     /// The node beside an upstream decided on an attempt.
     pub const ATTEMPT_EXECUTED: u16 = 803;
     /// A further attempt was not made for lack of budget.
-    pub const REPEAT_WITHHELD: u16 = 804;
+    pub const RETRY_SUPPRESSED: u16 = 804;
     /// Lines were left out.
     pub const LINES_DROPPED: u16 = 805;
     /// Least number of the lines on what a node believes.
-    pub const FIRST_BELIEF: u16 = 811;
+    pub const FIRST_STATE_CHANGE: u16 = 811;
     /// Another node was asked for what is newer.
     pub const STATE_FETCHED: u16 = 826;
     /// The zone was told what was read from the store.
-    pub const ZONE_TOLD: u16 = 823;
+    pub const ZONE_NOTIFIED: u16 = 823;
     /// Another node could not be reached.
     pub const NODE_UNREACHABLE: u16 = 831;
     /// A record of a node was news.
     pub const NODE_KNOWN: u16 = 832;
     /// The upstream beside a node is cold.
-    pub const UPSTREAM_COLD: u16 = 817;
+    pub const UPSTREAM_WARMING_UP: u16 = 817;
     /// An availability zone was evacuated.
     pub const ZONE_EVACUATED: u16 = 836;
     /// An evacuated availability zone was taken back.
-    pub const ZONE_TAKEN_BACK: u16 = 837;
+    pub const ZONE_RESTORED: u16 = 837;
     /// The process began to serve.
     pub const NODE_STARTED: u16 = 851;
     /// The process was told to stop.
@@ -136,18 +136,18 @@
 
     /// How the request or attempt ended.
     #[must_use]
-    pub fn end(&self) -> LineEnd<'_> {
+    pub fn end(&self) -> EndField<'_> {
         match self.fields.get("end") {
-            Some(Value::String(word)) => LineEnd::Other(word),
-            Some(Value::Object(members)) => LineEnd::read(members),
-            _ => LineEnd::Other(""),
+            Some(Value::String(word)) => EndField::Other(word),
+            Some(Value::Object(members)) => EndField::read(members),
+            _ => EndField::Other(""),
         }
     }
 }
 
 /// How a request or an attempt ended, as a line has it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LineEnd<'a> {
+pub enum EndField<'a> {
     /// Answered with a status.
     Answered(u64),
     /// Not run, for a reason.
@@ -158,7 +158,7 @@
     Other(&'a str),
 }
 
-impl<'a> LineEnd<'a> {
+impl<'a> EndField<'a> {
     /// The request ended while the attempt was under way.
     pub const ABANDONED: Self = Self::Other("abandoned");
     /// The client, or the node that asked, went away.
--- a/src/log_reading/matching.rs
+++ b/src/log_reading/matching.rs
@@ -2,8 +2,8 @@
 
 use crate::{
     log_reading::{
-        line::{LineEnd, LogLine, numbers},
-        runs::NodeRun,
+        incarnations::NodeIncarnation,
+        line::{EndField, LogLine, event_numbers},
     },
     state::names::NodeName,
 };
@@ -14,7 +14,7 @@
 
 /// Place of a line: its run, and its position there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct LinePlace {
+pub struct LinePosition {
     /// Position of the run.
     pub run: usize,
     /// Position in the run.
@@ -25,9 +25,9 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct MatchedAttempt {
     /// The line of the entry node.
-    pub returned: LinePlace,
+    pub returned: LinePosition,
     /// The line of the node beside the upstream.
-    pub executed: LinePlace,
+    pub executed: LinePosition,
     /// When the entry node sent it and had its answer.
     pub asked: (f64, f64),
     /// When the other node got it and answered.
@@ -36,13 +36,13 @@
 
 /// Addresses where nodes take messages from nodes, as their lines tell.
 #[must_use]
-pub fn find_addresses(runs: &[NodeRun]) -> HashMap<SocketAddr, NodeName> {
+pub fn find_addresses(runs: &[NodeIncarnation]) -> HashMap<SocketAddr, NodeName> {
     let mut addresses = HashMap::new();
     let lines = runs.iter().flat_map(|run| &run.lines);
     for line in lines {
         let node = match line.number {
-            numbers::NODE_STARTED => line.node.clone(),
-            numbers::NODE_KNOWN => line.text("known").into(),
+            event_numbers::NODE_STARTED => line.node.clone(),
+            event_numbers::NODE_KNOWN => line.text("known").into(),
             _ => continue,
         };
         if let Some(address) = line.address("address") {
@@ -60,12 +60,12 @@
 /// A request may be sent to one node more than once. Such attempts follow each other, so they are matched
 /// in their order, and only if both sides tell of equally many.
 #[must_use]
-pub fn match_attempts(runs: &[NodeRun]) -> Vec<MatchedAttempt> {
+pub fn match_attempts(runs: &[NodeIncarnation]) -> Vec<MatchedAttempt> {
     let addresses = find_addresses(runs);
     let own: HashMap<&NodeName, SocketAddr> =
         addresses.iter().map(|(at, node)| (node, *at)).collect();
-    let mut asked: BTreeMap<AttemptKey<'_>, Vec<LinePlace>> = BTreeMap::new();
-    let mut served: BTreeMap<AttemptKey<'_>, Vec<LinePlace>> = BTreeMap::new();
+    let mut asked: BTreeMap<AttemptKey<'_>, Vec<LinePosition>> = BTreeMap::new();
+    let mut served: BTreeMap<AttemptKey<'_>, Vec<LinePosition>> = BTreeMap::new();
     for (run, lines) in runs.iter().enumerate() {
         let Some(here) = own.get(&lines.node).copied() else {
             continue;
@@ -77,14 +77,14 @@
             if is_cut_short(text) {
                 continue;
             }
-            let place = LinePlace { run, line };
+            let place = LinePosition { run, line };
             match text.number {
-                numbers::ATTEMPT_RETURNED => {
+                event_numbers::ATTEMPT_RETURNED => {
                     if let Some(to) = text.address("to") {
                         asked.entry((request, here, to)).or_default().push(place);
                     }
                 }
-                numbers::ATTEMPT_EXECUTED => {
+                event_numbers::ATTEMPT_EXECUTED => {
                     if let Some(from) = text.address("from") {
                         served.entry((request, from, here)).or_default().push(place);
                     }
@@ -97,7 +97,7 @@
         let served = served
             .get(&key)
             .filter(|served| served.len() == asked.len())?;
-        asked.sort_by_key(|place| line_at(runs, *place).number("sent_ms"));
+        asked.sort_by_key(|place| get_line(runs, *place).number("sent_ms"));
         Some(asked.into_iter().zip(served.clone()))
     });
     pairs
@@ -110,26 +110,30 @@
 /// nothing of their clocks.
 fn is_cut_short(line: &LogLine) -> bool {
     let end = line.end();
-    end == LineEnd::ABANDONED || end == LineEnd::CLIENT_LEFT
+    end == EndField::ABANDONED || end == EndField::CLIENT_LEFT
 }
 
 /// The line at a place.
 #[must_use]
-pub fn line_at(runs: &[NodeRun], place: LinePlace) -> &LogLine {
+pub fn get_line(runs: &[NodeIncarnation], place: LinePosition) -> &LogLine {
     &runs[place.run].lines[place.line]
 }
 
 /// An attempt's line is written when its request has ended; the line of that tells when it came.
-fn measure(runs: &[NodeRun], returned: LinePlace, executed: LinePlace) -> Option<MatchedAttempt> {
-    let line = line_at(runs, returned);
+fn measure(
+    runs: &[NodeIncarnation],
+    returned: LinePosition,
+    executed: LinePosition,
+) -> Option<MatchedAttempt> {
+    let line = get_line(runs, returned);
     let later = runs[returned.run].lines[returned.line..].iter();
     let mut ends = later.filter(|other| {
-        other.number == numbers::REQUEST_ENDED && other.request() == line.request()
+        other.number == event_numbers::REQUEST_ENDED && other.request() == line.request()
     });
     let end = ends.next()?;
     let came = as_float(end.up_ms) - as_float(end.number("took_ms"));
     let sent = came + as_float(line.number("sent_ms"));
-    let other = line_at(runs, executed);
+    let other = get_line(runs, executed);
     let answered = as_float(other.up_ms);
     Some(MatchedAttempt {
         returned,
--- a/src/log_reading/misses.rs
+++ b/src/log_reading/misses.rs
@@ -5,15 +5,15 @@
 pub mod requests;
 
 use crate::log_reading::{
-    line::{LogLine, numbers},
+    description::NodeNames,
+    incarnations::NodeIncarnation,
+    line::{LogLine, event_numbers},
     misses::{
         breakdown::{Breakdown, Counts, Sampling},
         kind::MissKind,
         requests::{EndedRequest, collect_requests},
     },
     order::{TimedLine, order_lines},
-    runs::NodeRun,
-    sentence::NodeNames,
 };
 use serde::Serialize;
 use std::{
@@ -77,7 +77,7 @@
 
 /// Breaks the requests of all runs down.
 #[must_use]
-pub fn report_misses(runs: &[NodeRun], window: Duration, sampling: Sampling) -> MissReport {
+pub fn report_misses(runs: &[NodeIncarnation], window: Duration, sampling: Sampling) -> MissReport {
     let ordered = order_lines(runs);
     let names = NodeNames::collect(runs);
     let requests = collect_requests(&ordered, &names);
@@ -153,11 +153,12 @@
 }
 
 fn read_dropped(timed: &TimedLine) -> Option<(f64, u64)> {
-    (timed.line.number == numbers::LINES_DROPPED).then(|| (timed.at_ms, timed.line.number("lines")))
+    (timed.line.number == event_numbers::LINES_DROPPED)
+        .then(|| (timed.at_ms, timed.line.number("lines")))
 }
 
 /// Lines that lie between two lines of a run by their numbers.
-fn count_gaps(run: &NodeRun) -> u64 {
+fn count_gaps(run: &NodeIncarnation) -> u64 {
     let pairs = run.lines.windows(2);
     let gap = |one: &LogLine, next: &LogLine| next.seq.saturating_sub(one.seq).saturating_sub(1);
     pairs
--- a/src/log_reading/misses/kind.rs
+++ b/src/log_reading/misses/kind.rs
@@ -1,8 +1,8 @@
 //! Kinds of ends, with the cause of each.
 
 use crate::log_reading::{
-    late_cause::LateCause, line::LogLine, outcome::RequestOutcome, request_lines::RequestLines,
-    sentence::NodeNames,
+    description::NodeNames, late_cause::LateCause, line::LogLine, outcome::RequestOutcome,
+    request_lines::RequestLines,
 };
 
 /// How a request ended and why.
--- a/src/log_reading/misses/requests.rs
+++ b/src/log_reading/misses/requests.rs
@@ -2,12 +2,12 @@
 
 use crate::{
     log_reading::{
-        line::{LogLine, numbers},
+        description::NodeNames,
+        line::{LogLine, event_numbers},
         matching::as_float,
         misses::kind::MissKind,
         order::TimedLine,
-        request_lines::{RequestLines, find_caller},
-        sentence::NodeNames,
+        request_lines::{RequestLines, find_parent_request},
     },
     state::names::NodeName,
 };
@@ -26,7 +26,7 @@
 
 /// All requests.
 #[derive(Clone, Debug, Default)]
-pub struct ToldRequests {
+pub struct LoggedRequests {
     /// Those whose end is told.
     pub ended: Vec<EndedRequest>,
     /// How many others the nodes beside upstreams tell of.
@@ -50,10 +50,10 @@
                 continue;
             };
             match line.number {
-                numbers::ATTEMPT_EXECUTED => {
+                event_numbers::ATTEMPT_EXECUTED => {
                     index.executed.entry(request).or_default().push(line);
                 }
-                numbers::REQUEST_ENDED => index.add_end(request, line),
+                event_numbers::REQUEST_ENDED => index.add_end(request, line),
                 _ => {}
             }
         }
@@ -62,7 +62,7 @@
 
     fn add_end(&mut self, request: &'a str, line: &LogLine) {
         self.ended.insert(request);
-        if let Some(caller) = find_caller(request) {
+        if let Some(caller) = find_parent_request(request) {
             let slowest = self.calls.entry(caller).or_default();
             *slowest = (*slowest).max(line.number("took_ms"));
         }
@@ -77,7 +77,7 @@
 
 /// Collects all requests from lines in their order.
 #[must_use]
-pub fn collect_requests(ordered: &[TimedLine], names: &NodeNames) -> ToldRequests {
+pub fn collect_requests(ordered: &[TimedLine], names: &NodeNames) -> LoggedRequests {
     let index = RequestIndex::build(ordered);
     // A client may use an identity again: what is returned belongs to the next end at the same node.
     let mut returned: HashMap<(&NodeName, &str), Vec<&LogLine>> = HashMap::new();
@@ -86,15 +86,15 @@
         let line = &timed.line;
         let key = (&line.node, line.text("request"));
         match line.number {
-            numbers::ATTEMPT_RETURNED => returned.entry(key).or_default().push(line),
-            numbers::REQUEST_ENDED => {
+            event_numbers::ATTEMPT_RETURNED => returned.entry(key).or_default().push(line),
+            event_numbers::REQUEST_ENDED => {
                 let own = returned.remove(&key).unwrap_or_default();
                 ended.push(judge_request(timed, own, &index, names));
             }
             _ => {}
         }
     }
-    ToldRequests {
+    LoggedRequests {
         ended,
         without_end: index.count_without_end(),
     }
--- a/src/log_reading/order.rs
+++ b/src/log_reading/order.rs
@@ -1,10 +1,10 @@
 //! All lines in one order in which causes stand before their effects.
 
 use crate::log_reading::{
-    clocks::align_runs,
+    clocks::align_clocks,
+    incarnations::NodeIncarnation,
     line::LogLine,
-    matching::{LinePlace, as_float, line_at, match_attempts},
-    runs::NodeRun,
+    matching::{LinePosition, as_float, get_line, match_attempts},
 };
 use std::collections::HashMap;
 
@@ -20,22 +20,22 @@
 /// Puts the lines of all runs in causal order: those of one run as written, and an attempt's line at the
 /// node beside the upstream before the one at the entry node. Else the common clock decides.
 #[must_use]
-pub fn order_lines(runs: &[NodeRun]) -> Vec<TimedLine> {
+pub fn order_lines(runs: &[NodeIncarnation]) -> Vec<TimedLine> {
     let attempts = match_attempts(runs);
-    let begins = align_runs(runs, &attempts);
-    let causes: HashMap<LinePlace, LinePlace> = attempts
+    let begins = align_clocks(runs, &attempts);
+    let causes: HashMap<LinePosition, LinePosition> = attempts
         .iter()
         .map(|attempt| (attempt.returned, attempt.executed))
         .collect();
     let mut next = vec![0; runs.len()];
     let mut ordered = Vec::new();
     while let Some(run) = pick_run(runs, &begins, &next, &causes) {
-        let place = LinePlace {
+        let place = LinePosition {
             run,
             line: next[run],
         };
         next[run] += 1;
-        let line = line_at(runs, place).clone();
+        let line = get_line(runs, place).clone();
         ordered.push(TimedLine {
             at_ms: begins[run] + as_float(line.up_ms),
             line,
@@ -47,16 +47,16 @@
 /// The run whose next line comes first. A line that waits for its cause goes only if all others wait too,
 /// which lines that contradict each other would lead to.
 fn pick_run(
-    runs: &[NodeRun],
+    runs: &[NodeIncarnation],
     begins: &[f64],
     next: &[usize],
-    causes: &HashMap<LinePlace, LinePlace>,
+    causes: &HashMap<LinePosition, LinePosition>,
 ) -> Option<usize> {
     let heads = (0..runs.len()).filter(|run| next[*run] < runs[*run].lines.len());
     heads.min_by(|one, other| {
         let rank = |run: usize| {
             let line = next[run];
-            let cause = causes.get(&LinePlace { run, line });
+            let cause = causes.get(&LinePosition { run, line });
             let waits =
                 cause.is_some_and(|cause| cause.run != run && next[cause.run] <= cause.line);
             let at = begins[run] + as_float(runs[run].lines[line].up_ms);
--- a/src/log_reading/outcome.rs
+++ b/src/log_reading/outcome.rs
@@ -1,6 +1,6 @@
 //! How a request ended, as its client sees it.
 
-use crate::log_reading::line::{LineEnd, LogLine};
+use crate::log_reading::line::{EndField, LogLine};
 
 /// Least status by which an upstream says that it failed.
 const LEAST_FAILURE: u64 = 500;
@@ -31,13 +31,13 @@
     #[must_use]
     pub fn judge(end: &'a LogLine) -> Self {
         match end.end() {
-            LineEnd::Answered(status) if status >= LEAST_FAILURE => Self::UpstreamFailed(status),
-            LineEnd::Answered(_) => judge_answer(end),
-            LineEnd::Refused(reason) => Self::Refused(reason),
-            LineEnd::Unknown(cause) => Self::Unknown(cause),
-            LineEnd::CLIENT_LEFT => Self::ClientLeft,
-            LineEnd::Other("no_route") => Self::NoRoute,
-            LineEnd::Other(word) => Self::Other(word),
+            EndField::Answered(status) if status >= LEAST_FAILURE => Self::UpstreamFailed(status),
+            EndField::Answered(_) => judge_answer(end),
+            EndField::Refused(reason) => Self::Refused(reason),
+            EndField::Unknown(cause) => Self::Unknown(cause),
+            EndField::CLIENT_LEFT => Self::ClientLeft,
+            EndField::Other("no_route") => Self::NoRoute,
+            EndField::Other(word) => Self::Other(word),
         }
     }
 }
--- a/src/log_reading/request_lines.rs
+++ b/src/log_reading/request_lines.rs
@@ -1,9 +1,9 @@
 //! The lines on one request, and where its time went.
 
 use crate::log_reading::{
-    line::{LineEnd, LogLine},
+    description::NodeNames,
+    line::{EndField, LogLine},
     order::TimedLine,
-    sentence::NodeNames,
 };
 
 /// What stands between the id of a request and the own part of the id of a call that it made.
@@ -47,7 +47,7 @@
     /// Whether the request ended while it was under way.
     #[must_use]
     pub fn is_abandoned(&self) -> bool {
-        self.returned.end() == LineEnd::ABANDONED
+        self.returned.end() == EndField::ABANDONED
     }
 }
 
@@ -61,7 +61,7 @@
         let mut executed = self.executed.iter().copied();
         let executed = executed.find(|line| line.node.as_str() == node);
         let waited_ms = match executed {
-            Some(executed) if slowest.end() == LineEnd::ABANDONED => executed.number("waited_ms"),
+            Some(executed) if slowest.end() == EndField::ABANDONED => executed.number("waited_ms"),
             _ => slowest.number("waited_ms"),
         };
         Some(SlowestAttempt {
@@ -76,6 +76,6 @@
 
 /// The request that a call was made for: the identity of a call begins with that of the request and a dot.
 #[must_use]
-pub fn find_caller(call: &str) -> Option<&str> {
+pub fn find_parent_request(call: &str) -> Option<&str> {
     call.rsplit_once(CALL_SEPARATOR).map(|(caller, _)| caller)
 }
--- a/src/log_reading/request_story.rs
+++ b/src/log_reading/request_trace.rs
@@ -3,13 +3,13 @@
 use crate::{
     log_reading::{
         cause::find_causes,
-        late_cause::is_most,
-        line::{LogLine, numbers},
+        description::{NodeNames, describe_line},
+        incarnations::NodeIncarnation,
+        late_cause::took_most_of_time,
+        line::{LogLine, event_numbers},
         matching::as_float,
         order::{TimedLine, order_lines},
-        request_lines::{RequestLines, find_caller},
-        runs::NodeRun,
-        sentence::{NodeNames, describe_line},
+        request_lines::{RequestLines, find_parent_request},
     },
     state::names::NodeName,
 };
@@ -24,7 +24,7 @@
 
 /// One step of a request.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct StoryStep {
+pub struct TraceStep {
     /// Milliseconds since the request came.
     pub at_ms: f64,
     /// The node that tells of it.
@@ -37,7 +37,7 @@
 
 /// A request's story.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct RequestStory {
+pub struct RequestTrace {
     /// Its identity.
     pub request: String,
     /// How it ended; empty if no line tells.
@@ -45,16 +45,16 @@
     /// Why.
     pub causes: Vec<String>,
     /// Its steps, in causal order.
-    pub steps: Vec<StoryStep>,
+    pub steps: Vec<TraceStep>,
     /// Changes of belief of the nodes that had to do with it, shortly before and during it.
-    pub beliefs: Vec<StoryStep>,
+    pub beliefs: Vec<TraceStep>,
     /// Calls that its upstream made, in the order of their ends.
-    pub calls: Vec<CallStory>,
+    pub calls: Vec<TracedCall>,
 }
 
 /// A call that was made for a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct CallStory {
+pub struct TracedCall {
     /// Its identity.
     pub request: String,
     /// Its class.
@@ -67,7 +67,7 @@
 
 /// Tells the story of a request.
 #[must_use]
-pub fn tell_request(runs: &[NodeRun], request: &str) -> RequestStory {
+pub fn trace_request(runs: &[NodeIncarnation], request: &str) -> RequestTrace {
     let names = NodeNames::collect(runs);
     let ordered = order_lines(runs);
     let own: Vec<&TimedLine> = ordered
@@ -85,7 +85,7 @@
         .collect();
     let calls = list_calls(&ordered, request);
     let lines = sort_lines(&own, beliefs.clone());
-    let step = |timed: &&TimedLine| StoryStep {
+    let step = |timed: &&TimedLine| TraceStep {
         at_ms: (find_start(timed, began) - began).round(),
         node: timed.line.node.clone(),
         event: timed.line.number,
@@ -93,9 +93,9 @@
     };
     let mut causes = find_causes(&lines, &names);
     causes.extend(find_slowest_call(&lines, &calls));
-    let mut steps: Vec<StoryStep> = own.iter().map(step).collect();
+    let mut steps: Vec<TraceStep> = own.iter().map(step).collect();
     steps.sort_by(|one, other| one.at_ms.total_cmp(&other.at_ms));
-    RequestStory {
+    RequestTrace {
         request: request.to_owned(),
         end: lines
             .end
@@ -114,9 +114,9 @@
         lines.map(|timed| &timed.line)
     };
     RequestLines {
-        end: of(numbers::REQUEST_ENDED).next_back(),
-        returned: of(numbers::ATTEMPT_RETURNED).collect(),
-        executed: of(numbers::ATTEMPT_EXECUTED).collect(),
+        end: of(event_numbers::REQUEST_ENDED).next_back(),
+        returned: of(event_numbers::ATTEMPT_RETURNED).collect(),
+        executed: of(event_numbers::ATTEMPT_EXECUTED).collect(),
         beliefs,
     }
 }
@@ -124,9 +124,9 @@
 /// News of other nodes come all the time; only what a node does or can't do any more leads to an end.
 fn may_have_led_to_end(line: &LogLine) -> bool {
     match line.number {
-        numbers::NODE_KNOWN => line.is_set("leaving"),
-        numbers::STATE_FETCHED | numbers::ZONE_TOLD => false,
-        number => number >= numbers::FIRST_BELIEF,
+        event_numbers::NODE_KNOWN => line.is_set("leaving"),
+        event_numbers::STATE_FETCHED | event_numbers::ZONE_NOTIFIED => false,
+        number => number >= event_numbers::FIRST_STATE_CHANGE,
     }
 }
 
@@ -134,17 +134,17 @@
 fn find_start(timed: &TimedLine, began: f64) -> f64 {
     let line = &timed.line;
     match line.number {
-        numbers::ATTEMPT_RETURNED => began + as_float(line.number("sent_ms")),
-        numbers::ATTEMPT_EXECUTED => timed.at_ms - as_float(line.number("took_ms")),
+        event_numbers::ATTEMPT_RETURNED => began + as_float(line.number("sent_ms")),
+        event_numbers::ATTEMPT_EXECUTED => timed.at_ms - as_float(line.number("took_ms")),
         _ => timed.at_ms,
     }
 }
 
 /// A request that was late or not answered may have waited for a call of its upstream.
-fn find_slowest_call(lines: &RequestLines<'_>, calls: &[CallStory]) -> Option<String> {
+fn find_slowest_call(lines: &RequestLines<'_>, calls: &[TracedCall]) -> Option<String> {
     let end = lines.end?;
     let slowest = calls.iter().max_by_key(|call| call.took_ms)?;
-    is_most(slowest.took_ms, end).then(|| {
+    took_most_of_time(slowest.took_ms, end).then(|| {
         format!(
             "Most of its time went into a call that its upstream made: {} of class {}, {} ms, {}.",
             slowest.request, slowest.class, slowest.took_ms, slowest.end
@@ -170,12 +170,12 @@
     asked.chain(told).collect()
 }
 
-fn list_calls(ordered: &[TimedLine], request: &str) -> Vec<CallStory> {
+fn list_calls(ordered: &[TimedLine], request: &str) -> Vec<TracedCall> {
     let ends = ordered.iter().map(|timed| &timed.line);
-    let ends = ends.filter(|line| line.number == numbers::REQUEST_ENDED);
+    let ends = ends.filter(|line| line.number == event_numbers::REQUEST_ENDED);
     let calls = ends.filter_map(|line| {
         let id = line.request()?;
-        (find_caller(id) == Some(request)).then(|| CallStory {
+        (find_parent_request(id) == Some(request)).then(|| TracedCall {
             request: id.to_owned(),
             class: line.text("class").to_owned(),
             end: line.end().describe(),
--- a/src/log_reading/summary.rs
+++ b/src/log_reading/summary.rs
@@ -2,9 +2,9 @@
 
 use crate::{
     log_reading::{
-        line::{LineEnd, LogLine, numbers},
+        incarnations::NodeIncarnation,
+        line::{EndField, LogLine, event_numbers},
         order::TimedLine,
-        runs::NodeRun,
     },
     state::names::NodeName,
 };
@@ -56,7 +56,7 @@
 
 /// Sums up lines in their order.
 #[must_use]
-pub fn summarize_lines(runs: &[NodeRun], ordered: &[TimedLine]) -> LogSummary {
+pub fn summarize_lines(runs: &[NodeIncarnation], ordered: &[TimedLine]) -> LogSummary {
     let mut summary = LogSummary {
         lines: ordered.len(),
         ..LogSummary::default()
@@ -78,15 +78,15 @@
 impl LogSummary {
     fn add(&mut self, line: &LogLine) {
         match line.number {
-            numbers::REQUEST_ENDED => self.add_request(line),
-            numbers::ATTEMPT_RETURNED => {
+            event_numbers::REQUEST_ENDED => self.add_request(line),
+            event_numbers::ATTEMPT_RETURNED => {
                 *self.attempts.entry(line.end().describe()).or_default() += 1;
             }
-            numbers::REPEAT_WITHHELD => self.withheld += 1,
-            numbers::LINES_DROPPED => {
+            event_numbers::RETRY_SUPPRESSED => self.withheld += 1,
+            event_numbers::LINES_DROPPED => {
                 self.dropped = self.dropped.saturating_add(line.number("lines"));
             }
-            number if number >= numbers::FIRST_BELIEF => {
+            number if number >= event_numbers::FIRST_STATE_CHANGE => {
                 *self.beliefs.entry(line.name.clone()).or_default() += 1;
             }
             _ => {}
@@ -97,7 +97,7 @@
         let end = line.end();
         let took_ms = line.number("took_ms");
         *self.ends.entry(end.describe()).or_default() += 1;
-        let answered = matches!(end, LineEnd::Answered(_));
+        let answered = matches!(end, EndField::Answered(_));
         self.late += u64::from(answered && took_ms > line.number("target_ms"));
         self.repeated += u64::from(line.number("arrivals") > 1);
         self.slowest.push(SlowRequest {
--- a/tests/integration/command_line.rs
+++ b/tests/integration/command_line.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use camphorturn::{
-    commands::dev::deployments::booking_deployments,
+    commands::dev::deployments::build_booking_mesh_plan,
     local_mesh::{
         LOCAL_TOKEN, LocalMesh,
         client::{CallerCall, CallerClient},
@@ -118,7 +118,7 @@
 }
 
 fn start_mesh() -> LocalMesh {
-    let mesh = LocalMesh::start(&booking_deployments(1)).expect("free ports");
+    let mesh = LocalMesh::start(&build_booking_mesh_plan(1)).expect("free ports");
     assert!(wait_until_ready(&mesh, PATIENCE), "the mesh was not ready");
     mesh
 }
--- a/tests/integration/local_mesh.rs
+++ b/tests/integration/local_mesh.rs
@@ -1,7 +1,9 @@
 //! Whole meshes in one process: requests, publications, drains, stops and losses.
 
 use camphorturn::{
-    commands::dev::deployments::{booking_configuration, booking_deployments, call_kinds},
+    commands::dev::deployments::{
+        build_booking_configuration, build_booking_mesh_plan, build_call_kinds,
+    },
     coordination::publishing::{PublicationOutcome, PublicationRequest},
     local_mesh::{
         LOCAL_TOKEN, LocalMesh,
@@ -22,14 +24,14 @@
 const PATIENCE: Duration = Duration::from_secs(30);
 
 fn start_mesh() -> LocalMesh {
-    let mesh = LocalMesh::start(&booking_deployments(1)).expect("free ports");
+    let mesh = LocalMesh::start(&build_booking_mesh_plan(1)).expect("free ports");
     assert!(wait_until_ready(&mesh, PATIENCE), "the mesh was not ready");
     mesh
 }
 
 fn plan_load(mesh: &LocalMesh, seed: u64) -> LoadPlan {
     LoadPlan {
-        kinds: call_kinds(&booking_configuration()),
+        kinds: build_call_kinds(&build_booking_configuration()),
         entries: mesh.caller_addresses(),
         rate: 150.0,
         span: Duration::from_secs(1),
@@ -50,7 +52,7 @@
 }
 
 fn publication(id: u128, target_ms: u32) -> PublicationRequest {
-    let mut configuration = booking_configuration();
+    let mut configuration = build_booking_configuration();
     configuration.classes[1].target_ms = target_ms;
     PublicationRequest {
         id: Uuid::from_u128(id),
--- a/tests/integration/log_causes.rs
+++ b/tests/integration/log_causes.rs
@@ -2,8 +2,8 @@
 
 use crate::log_reading::{line, started};
 use camphorturn::log_reading::{
-    request_story::{RequestStory, tell_request},
-    runs::split_runs,
+    incarnations::split_incarnations,
+    request_trace::{RequestTrace, trace_request},
 };
 
 /// When n1 and n2 were started, in milliseconds of the day.
@@ -34,13 +34,16 @@
 }
 
 /// The story of `r1`, with n1 and n2 started one second before.
-fn tell(lines: &[String]) -> RequestStory {
+fn tell(lines: &[String]) -> RequestTrace {
     let mut all = vec![
         started("n1", (STARTED, 0), "10.0.0.1:1"),
         started("n2", (STARTED, 0), "10.0.0.2:1"),
     ];
     all.extend_from_slice(lines);
-    tell_request(&split_runs(all.iter().map(String::as_str)).runs, "r1")
+    trace_request(
+        &split_incarnations(all.iter().map(String::as_str)).runs,
+        "r1",
+    )
 }
 
 /// Lines of n1 at a time of day: what came of the attempt at n2, and of the request.
@@ -57,7 +60,7 @@
     line("n2", (wall, wall - STARTED), 2, 803, attempt)
 }
 
-fn assert_cause(story: &RequestStory, part: &str) {
+fn assert_cause(story: &RequestTrace, part: &str) {
     assert!(
         story.causes.iter().any(|cause| cause.contains(part)),
         "{part} in {story:#?}"
--- a/tests/integration/log_reading.rs
+++ b/tests/integration/log_reading.rs
@@ -2,11 +2,11 @@
 
 use bolero::check;
 use camphorturn::log_reading::{
-    clocks::align_runs,
+    clocks::align_clocks,
+    incarnations::{NodeIncarnation, split_incarnations},
     line::LogLine,
     matching::match_attempts,
     order::{TimedLine, order_lines},
-    runs::{NodeRun, split_runs},
     summary::summarize_lines,
 };
 use std::collections::BTreeMap;
@@ -61,11 +61,11 @@
     ]
 }
 
-fn read(lines: &[String]) -> Vec<NodeRun> {
-    split_runs(lines.iter().map(String::as_str)).runs
+fn read(lines: &[String]) -> Vec<NodeIncarnation> {
+    split_incarnations(lines.iter().map(String::as_str)).runs
 }
 
-fn numbers(ordered: &[TimedLine]) -> Vec<(u16, &str)> {
+fn event_numbers(ordered: &[TimedLine]) -> Vec<(u16, &str)> {
     let lines = ordered.iter().map(|timed| &timed.line);
     lines
         .map(|line| (line.number, line.node.as_str()))
@@ -89,7 +89,7 @@
         "noise".to_owned(),
         started("n1", (900, 0), "10.0.0.1:1"),
     ];
-    let read = split_runs(lines.iter().map(String::as_str));
+    let read = split_incarnations(lines.iter().map(String::as_str));
     assert_eq!(read.runs.len(), 2);
     assert_eq!(read.other_lines, 1);
 }
@@ -111,11 +111,11 @@
     for shift in [0, 40_000] {
         let runs = read(&exchange(shift));
         let ordered = order_lines(&runs);
-        let order = numbers(&ordered);
+        let order = event_numbers(&ordered);
         let place = |wanted| order.iter().position(|(number, _)| *number == wanted);
         assert!(place(803) < place(802), "{order:?}");
         assert!(place(802) < place(801), "{order:?}");
-        let begins = align_runs(&runs, &match_attempts(&runs));
+        let begins = align_clocks(&runs, &match_attempts(&runs));
         assert!((begins[0] - begins[1]).abs() < 15.0, "{begins:?}");
     }
 }
@@ -176,7 +176,7 @@
 fn parse_any_text() {
     check!().for_each(|bytes: &[u8]| {
         let text = String::from_utf8_lossy(bytes);
-        let read = split_runs(text.lines());
+        let read = split_incarnations(text.lines());
         assert!(order_lines(&read.runs).len() + read.other_lines <= text.lines().count());
     });
 }
--- a/tests/integration/misses.rs
+++ b/tests/integration/misses.rs
@@ -2,12 +2,12 @@
 
 use crate::log_reading::{line, started};
 use camphorturn::log_reading::{
+    incarnations::split_incarnations,
     misses::{
         MissReport,
         breakdown::{Breakdown, KindCount, Sampling},
         report_misses,
     },
-    runs::split_runs,
 };
 use std::time::Duration;
 
@@ -65,7 +65,7 @@
 
     fn report(&self) -> MissReport {
         let texts = self.all.iter().map(String::as_str);
-        report_misses(&split_runs(texts).runs, WINDOW, SAMPLING)
+        report_misses(&split_incarnations(texts).runs, WINDOW, SAMPLING)
     }
 }
 
@@ -240,7 +240,7 @@
         ordinary_one_in: 1,
         late_one_in: 1,
     };
-    let runs = split_runs(lines.all.iter().map(String::as_str)).runs;
+    let runs = split_incarnations(lines.all.iter().map(String::as_str)).runs;
     let total = report_misses(&runs, WINDOW, all).total;
     assert_eq!(total.on_time_share_range, Some((0.5, 0.5)));
 }
