--- a/tests/integration/crash_counting.rs
+++ b/tests/integration/crash_counting.rs
@@ -1,4 +1,4 @@
-//! Which requests crash upstreams: counting, the nodes that count, and the quarantine.
+//! Requests that crash upstreams: crash counts, the nodes that count, and the quarantine.
 
 use bolero::check;
 use camphorturn::{
@@ -18,11 +18,11 @@
 };
 use std::{collections::BTreeSet, net::SocketAddr, rc::Rc, time::Duration};
 
-fn digest(number: u64) -> RequestFingerprint {
+fn fingerprint(number: u64) -> RequestFingerprint {
     RequestFingerprint::compute("GET", "shop.example", &format!("/look/{number}"), b"")
 }
 
-fn run(number: u8) -> IncarnationId {
+fn incarnation(number: u8) -> IncarnationId {
     IncarnationId {
         instance: format!("i-{number}"),
         started_ms: Some(1_000 + u64::from(number)),
@@ -30,8 +30,8 @@
 }
 
 #[test]
-fn digest_tells_parts_apart() {
-    let digests = [
+fn fingerprint_separates_request_parts() {
+    let fingerprints = [
         RequestFingerprint::compute("GET", "shop.example", "/look/1", b""),
         RequestFingerprint::compute("HEAD", "shop.example", "/look/1", b""),
         RequestFingerprint::compute("GET", "shop.exampl", "e/look/1", b""),
@@ -39,136 +39,146 @@
         RequestFingerprint::compute("GET", "other.example", "/look/1", b""),
         RequestFingerprint::compute("GET", "shop.example", "/look/1?a", b""),
     ];
-    assert_eq!(BTreeSet::from(digests).len(), digests.len());
+    assert_eq!(BTreeSet::from(fingerprints).len(), fingerprints.len());
 }
 
 #[test]
-fn digest_survives_the_wire() {
+fn fingerprint_json_round_trip() {
     check!()
         .with_type::<(Vec<u8>, String)>()
         .for_each(|(body, target)| {
-            let told = RequestFingerprint::compute("POST", "shop.example", target, body);
-            let json = serde_json::to_string(&told).expect("a string");
+            let fingerprint = RequestFingerprint::compute("POST", "shop.example", target, body);
+            let json = serde_json::to_string(&fingerprint).expect("a string");
             assert_eq!(
                 serde_json::from_str::<RequestFingerprint>(&json).ok(),
-                Some(told)
+                Some(fingerprint)
             );
         });
 }
 
-/// Keepers hear of one crash from several nodes, twice, late and in any order. Were one crash counted twice, a request that was at
-/// two crashes would be refused; were one forgotten, one more upstream would be lost.
+/// Crash counters receive reports of one crash from several nodes, twice, late and in any order. If a crash were counted twice, a
+/// request that was running at two crashes would be quarantined. If one were lost, one more upstream would crash.
 #[test]
-fn crashes_count_once_in_any_order() {
+fn record_crash_counts_each_incarnation_once() {
     check!()
         .with_type::<Vec<(u8, bool)>>()
         .for_each(|steps: &Vec<(u8, bool)>| {
-            let mut suspects = CrashCounts::default();
+            let mut crashes = CrashCounts::default();
             let mut seen = BTreeSet::new();
             for (number, other) in steps {
                 if *other {
-                    suspects.record_crash(digest(2), run(*number), Timestamp(0));
+                    crashes.record_crash(fingerprint(2), incarnation(*number), Timestamp(0));
                     continue;
                 }
                 seen.insert(*number);
-                let crashes = suspects.record_crash(digest(1), run(*number), Timestamp(0));
-                assert_eq!(crashes, seen.len());
+                let count =
+                    crashes.record_crash(fingerprint(1), incarnation(*number), Timestamp(0));
+                assert_eq!(count, seen.len());
             }
         });
 }
 
 #[test]
-fn answered_request_counts_anew() {
-    let mut suspects = CrashCounts::default();
+fn record_answer_resets_count() {
+    let mut crashes = CrashCounts::default();
     for number in 1..3 {
-        suspects.record_crash(digest(1), run(number), Timestamp(0));
+        crashes.record_crash(fingerprint(1), incarnation(number), Timestamp(0));
     }
-    suspects.record_answer(digest(1));
-    assert_eq!(suspects.record_crash(digest(1), run(3), Timestamp(0)), 1);
+    crashes.record_answer(fingerprint(1));
+    assert_eq!(
+        crashes.record_crash(fingerprint(1), incarnation(3), Timestamp(0)),
+        1
+    );
 }
 
-/// After its quarantine a request is let to upstreams again. If it still crashes them, the first one is enough.
+/// After its quarantine, a request is sent to upstreams again. If it still crashes them, a single crash is enough to quarantine it
+/// again.
 #[test]
-fn crashes_outlast_the_quarantine() {
-    let mut suspects = CrashCounts::default();
+fn record_crash_after_quarantine_keeps_count() {
+    let mut crashes = CrashCounts::default();
     for number in 1..=3 {
-        suspects.record_crash(digest(1), run(number), Timestamp(0));
+        crashes.record_crash(fingerprint(1), incarnation(number), Timestamp(0));
     }
     let later = Timestamp(0) + QUARANTINE_DURATION + Duration::from_mins(1);
-    assert!(suspects.record_crash(digest(1), run(4), later) > QUARANTINE_CRASH_THRESHOLD);
+    assert!(
+        crashes.record_crash(fingerprint(1), incarnation(4), later) > QUARANTINE_CRASH_THRESHOLD
+    );
 }
 
-/// Upstreams that crash again and again, whatever they run, would fill the memory with what they ran.
+/// Failure: upstreams that keep crashing, whatever they run, exhaust the memory with the crashes of their requests.
 #[test]
-fn suspects_are_bounded() {
-    let mut suspects = CrashCounts::default();
+fn record_crash_limits_requests() {
+    let mut crashes = CrashCounts::default();
     for number in 0..20_000 {
-        suspects.record_crash(digest(number), run(1), Timestamp(number));
+        crashes.record_crash(fingerprint(number), incarnation(1), Timestamp(number));
     }
-    // The oldest are forgotten, the newest known.
+    // The oldest requests are removed, the latest are kept.
     assert_eq!(
-        suspects.record_crash(digest(0), run(2), Timestamp(20_000)),
+        crashes.record_crash(fingerprint(0), incarnation(2), Timestamp(20_000)),
         1
     );
     assert_eq!(
-        suspects.record_crash(digest(19_999), run(2), Timestamp(20_001)),
+        crashes.record_crash(fingerprint(19_999), incarnation(2), Timestamp(20_001)),
         2
     );
 }
 
 #[test]
-fn quarantine_ends_by_itself() {
+fn quarantine_expires() {
     let mut quarantine = Quarantine::default();
-    assert!(quarantine.insert(digest(1), QuarantineSource::Reported, Timestamp(0)));
-    assert!(!quarantine.insert(digest(1), QuarantineSource::Reported, Timestamp(1)));
-    let nearly = Timestamp(0) + QUARANTINE_DURATION - Duration::from_secs(1);
+    assert!(quarantine.insert(fingerprint(1), QuarantineSource::Reported, Timestamp(0)));
+    assert!(!quarantine.insert(fingerprint(1), QuarantineSource::Reported, Timestamp(1)));
+    let shortly_before_end = Timestamp(0) + QUARANTINE_DURATION - Duration::from_secs(1);
     assert_eq!(
-        quarantine.time_left(digest(1), nearly),
+        quarantine.time_left(fingerprint(1), shortly_before_end),
         Some(Duration::from_secs(1))
     );
     assert_eq!(
-        quarantine.time_left(digest(1), Timestamp(0) + QUARANTINE_DURATION),
+        quarantine.time_left(fingerprint(1), Timestamp(0) + QUARANTINE_DURATION),
+        None
+    );
+    assert_eq!(
+        quarantine.time_left(fingerprint(2), shortly_before_end),
         None
     );
-    assert_eq!(quarantine.time_left(digest(2), nearly), None);
 }
 
-/// A node heard that a request does no harm, and right after it the older word that it does, by another way. It refused the request
-/// for a quarter of an hour, while all others served it.
+/// Failure: a node learns that an upstream answered a request and lifts its quarantine. Right after it, an older report of the
+/// quarantine arrives on another path, and the node refuses the request for 15 minutes while all other nodes serve it.
 #[test]
 fn late_word_does_not_undo_a_lift() {
     let mut quarantine = Quarantine::default();
-    assert_eq!(quarantine.lift(digest(1), Timestamp(0)), None);
+    assert_eq!(quarantine.lift(fingerprint(1), Timestamp(0)), None);
     let soon = Timestamp(0) + Duration::from_secs(2);
-    assert!(!quarantine.insert(digest(1), QuarantineSource::Reported, soon));
-    assert_eq!(quarantine.time_left(digest(1), soon), None);
-    // What this node has counted itself since then is no late word.
-    assert!(quarantine.insert(digest(1), QuarantineSource::Counted, soon));
+    assert!(!quarantine.insert(fingerprint(1), QuarantineSource::Reported, soon));
+    assert_eq!(quarantine.time_left(fingerprint(1), soon), None);
+    // A quarantine by the count of this node itself is not a late report.
+    assert!(quarantine.insert(fingerprint(1), QuarantineSource::Counted, soon));
 }
 
 #[test]
-fn lift_tells_who_had_found_out() {
+fn lift_returns_source() {
     let mut quarantine = Quarantine::default();
-    quarantine.insert(digest(1), QuarantineSource::Reported, Timestamp(0));
-    quarantine.insert(digest(2), QuarantineSource::Counted, Timestamp(0));
+    quarantine.insert(fingerprint(1), QuarantineSource::Reported, Timestamp(0));
+    quarantine.insert(fingerprint(2), QuarantineSource::Counted, Timestamp(0));
     assert_eq!(quarantine.len(Timestamp(1)), 2);
     let now = Timestamp(2);
     assert_eq!(
-        quarantine.lift(digest(1), now),
+        quarantine.lift(fingerprint(1), now),
         Some(QuarantineSource::Reported)
     );
     assert_eq!(
-        quarantine.lift(digest(2), now),
+        quarantine.lift(fingerprint(2), now),
         Some(QuarantineSource::Counted)
     );
-    assert_eq!(quarantine.lift(digest(2), now), None);
+    assert_eq!(quarantine.lift(fingerprint(2), now), None);
 }
 
 #[test]
-fn quarantine_keys_are_no_nodes() {
+fn parse_quarantine_key_rejects_node_keys() {
     assert_eq!(
-        parse_quarantine_key(&quarantine_key(digest(1))),
-        Some(digest(1))
+        parse_quarantine_key(&quarantine_key(fingerprint(1))),
+        Some(fingerprint(1))
     );
     for key in ["10.1.0.6", "n1", "quarantine/", "quarantine/xyz"] {
         assert_eq!(parse_quarantine_key(key), None, "{key}");
@@ -176,23 +186,24 @@
 }
 
 #[test]
-fn answered_requests_are_those_of_one_run() {
+fn answered_requests_of_one_incarnation() {
     let mut answered = AnsweredRequests::default();
-    answered.insert(&run(1), digest(1));
-    assert!(answered.contains(&run(1), digest(1)));
-    assert!(!answered.contains(&run(2), digest(1)));
-    answered.insert(&run(2), digest(2));
-    assert!(!answered.contains(&run(1), digest(1)));
+    answered.insert(&incarnation(1), fingerprint(1));
+    assert!(answered.contains(&incarnation(1), fingerprint(1)));
+    assert!(!answered.contains(&incarnation(2), fingerprint(1)));
+    answered.insert(&incarnation(2), fingerprint(2));
+    assert!(!answered.contains(&incarnation(1), fingerprint(1)));
     for number in 10..2_000 {
-        answered.insert(&run(2), digest(number));
+        answered.insert(&incarnation(2), fingerprint(number));
     }
-    assert!(!answered.contains(&run(2), digest(2)));
-    assert!(answered.contains(&run(2), digest(1_999)));
+    assert!(!answered.contains(&incarnation(2), fingerprint(2)));
+    assert!(answered.contains(&incarnation(2), fingerprint(1_999)));
 }
 
-/// Two nodes that see a crash under the same request each, and know different nodes, must tell one in common: else none hears of both.
+/// Two nodes that each observe a crash with the same request, and know different nodes, must report to a common crash counter.
+/// Otherwise no node learns of both crashes.
 #[test]
-fn keepers_of_different_views_overlap() {
+fn order_crash_counters_overlap_between_nodes() {
     check!()
         .with_type::<(u64, u8, u8, u8)>()
         .for_each(|(number, size, one, other)| {
@@ -201,7 +212,7 @@
             let without = |left_out: u8| {
                 let left_out = u16::from(left_out) % size;
                 let nodes = (0..size).filter(|port| *port != left_out).map(address);
-                order_crash_counters(digest(*number), nodes)
+                order_crash_counters(fingerprint(*number), nodes)
             };
             let (first, second) = (without(*one), without(*other));
             let first: BTreeSet<_> = first.iter().take(CRASH_COUNTERS).collect();
@@ -211,16 +222,16 @@
 }
 
 #[test]
-fn keepers_are_spread_over_nodes() {
+fn order_crash_counters_spread_over_nodes() {
     const NODES: u16 = 30;
     let mut counts = vec![0; usize::from(NODES)];
     for number in 0..3_000 {
         let nodes = (0..NODES).map(|port| SocketAddr::from(([10, 0, 0, 1], port)));
-        for keeper in order_crash_counters(digest(number), nodes)
+        for counter in order_crash_counters(fingerprint(number), nodes)
             .iter()
             .take(CRASH_COUNTERS)
         {
-            counts[usize::from(keeper.port())] += 1;
+            counts[usize::from(counter.port())] += 1;
         }
     }
     // 300 each on average.
@@ -231,14 +242,14 @@
 }
 
 #[test]
-fn findings_survive_the_wire() {
+fn crash_finding_json_round_trip() {
     let findings = [
         CrashFinding::Crashed {
-            fingerprint: digest(1),
-            incarnation: run(1),
+            fingerprint: fingerprint(1),
+            incarnation: incarnation(1),
         },
-        CrashFinding::Quarantined(digest(1)),
-        CrashFinding::Answered(digest(1)),
+        CrashFinding::Quarantined(fingerprint(1)),
+        CrashFinding::Answered(fingerprint(1)),
     ];
     for finding in findings {
         let message = StateMessage {
--- a/tests/integration/evacuations.rs
+++ b/tests/integration/evacuations.rs
@@ -1,4 +1,4 @@
-//! Evacuated availability zones as of a position in the store's topic.
+//! Evacuated availability zones as of a position in the configuration topic of the store.
 
 use bolero::check;
 use camphorturn::state::{
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn after_two_zones_at_once() {
+fn with_changes_two_zones() {
     let both = [change("a", true, 3), change("b", true, 4)];
     let known = Evacuations::default().with_changes(&both, 5, EvacuationRead::Incremental);
     assert_eq!(list(&known), ["a", "b"]);
@@ -30,28 +30,28 @@
     assert_eq!(list(&known), ["b"]);
 }
 
-/// Failure: records that are read again bring back an evacuation that is over.
+/// Failure: records that are read a second time bring back an evacuation that has ended.
 #[test]
-fn after_records_read_again() {
-    let begun = [change("a", true, 3)];
-    let over = Evacuations::default()
-        .with_changes(&begun, 4, EvacuationRead::Incremental)
+fn with_changes_records_read_twice() {
+    let started = [change("a", true, 3)];
+    let ended = Evacuations::default()
+        .with_changes(&started, 4, EvacuationRead::Incremental)
         .with_changes(&[change("a", false, 5)], 6, EvacuationRead::Incremental);
-    assert!(list(&over).is_empty());
+    assert!(list(&ended).is_empty());
     assert_eq!(
-        over.with_changes(&begun, 4, EvacuationRead::Incremental),
-        over
+        ended.with_changes(&started, 4, EvacuationRead::Incremental),
+        ended
     );
-    let read_on = [change("a", true, 3), change("b", true, 6)];
+    let next_records = [change("a", true, 3), change("b", true, 6)];
     assert_eq!(
-        list(&over.with_changes(&read_on, 7, EvacuationRead::Incremental)),
+        list(&ended.with_changes(&next_records, 7, EvacuationRead::Incremental)),
         ["b"]
     );
 }
 
-/// Failure: an evacuation lives on at a node that was away when its record was deleted.
+/// Failure: an evacuation stays in force on a node that was disconnected when the record of the evacuation was deleted.
 #[test]
-fn after_all_records_were_read() {
+fn with_changes_full_read_drops_deleted() {
     let known = Evacuations::default().with_changes(
         &[change("a", true, 3)],
         4,
@@ -61,24 +61,25 @@
     assert_eq!(list(&known), ["b"]);
 }
 
-/// Failure: a node that was away brings an evacuation back to others.
+/// Failure: a node that was disconnected brings an ended evacuation back on other nodes.
 #[test]
-fn replace_by_older() {
-    let away = Evacuations::default().with_changes(
+fn replace_if_newer_older_state() {
+    let disconnected = Evacuations::default().with_changes(
         &[change("a", true, 3)],
         4,
         EvacuationRead::Incremental,
     );
-    let mut known = away.with_changes(&[change("a", false, 5)], 6, EvacuationRead::Incremental);
-    assert!(!known.replace_if_newer(&away));
+    let mut known =
+        disconnected.with_changes(&[change("a", false, 5)], 6, EvacuationRead::Incremental);
+    assert!(!known.replace_if_newer(&disconnected));
     assert!(list(&known).is_empty());
-    let mut away = away;
-    assert!(away.replace_if_newer(&known));
-    assert_eq!(away, known);
+    let mut disconnected = disconnected;
+    assert!(disconnected.replace_if_newer(&known));
+    assert_eq!(disconnected, known);
 }
 
 #[test]
-fn changed_at_stays_while_no_zone_changes() {
+fn changed_at_unchanged_without_zone_change() {
     let known = Evacuations::default().with_changes(
         &[change("a", true, 3)],
         4,
@@ -88,154 +89,157 @@
     assert_eq!((known.position(), known.changed_at()), (9, 4));
 }
 
-/// A place in the second era of the store.
-const fn later(offset: u64) -> u64 {
+/// A packed position in the second epoch of the store.
+const fn second_epoch(offset: u64) -> u64 {
     StorePosition { epoch: 2, offset }.pack()
 }
 
-/// Guards against evacuations that end, or begin anew, with a store that has come back from a copy.
+/// Failure: evacuations end, or start again, because the store was restored from a backup.
 #[test]
-fn after_copy_of_store() {
+fn with_changes_restored_store() {
     let changes = [
         change("a", true, 3),
         change("b", true, 4),
         change("b", false, 6),
     ];
     let known = Evacuations::default().with_changes(&changes, 7, EvacuationRead::Incremental);
-    // The copy lacks the first evacuation and the end of the second.
-    let returned = known.with_changes(
-        &[change("b", true, later(4))],
-        later(5),
+    // The restored store lacks the first evacuation and the end of the second.
+    let restored = known.with_changes(
+        &[change("b", true, second_epoch(4))],
+        second_epoch(5),
         EvacuationRead::Full,
     );
-    assert_eq!(list(&returned), ["a"]);
-    assert_eq!(returned.position(), later(5));
-    let written = [change("a", true, later(5)), change("b", false, later(6))];
-    let written = returned.with_changes(&written, later(7), EvacuationRead::Incremental);
+    assert_eq!(list(&restored), ["a"]);
+    assert_eq!(restored.position(), second_epoch(5));
+    let written = [
+        change("a", true, second_epoch(5)),
+        change("b", false, second_epoch(6)),
+    ];
+    let written = restored.with_changes(&written, second_epoch(7), EvacuationRead::Incremental);
     assert_eq!(list(&written), ["a"]);
-    let over = written.with_changes(
-        &[change("a", false, later(7))],
-        later(8),
+    let ended = written.with_changes(
+        &[change("a", false, second_epoch(7))],
+        second_epoch(8),
         EvacuationRead::Incremental,
     );
-    assert!(list(&over).is_empty());
+    assert!(list(&ended).is_empty());
 }
 
-/// Guards against an evacuation after the return that waits for the second read.
+/// Failure: an evacuation that is ordered after the store was restored isn't in force until the second full read.
 #[test]
-fn after_copy_new_evacuation() {
+fn with_changes_restored_store_new_evacuation() {
     let known = Evacuations::default().with_changes(
         &[change("b", true, 3)],
         4,
         EvacuationRead::Incremental,
     );
     let known = known.with_changes(&[change("b", false, 4)], 5, EvacuationRead::Incremental);
-    let returned = known.with_changes(
-        &[change("b", true, later(6))],
-        later(7),
+    let restored = known.with_changes(
+        &[change("b", true, second_epoch(6))],
+        second_epoch(7),
         EvacuationRead::Full,
     );
-    assert_eq!(list(&returned), ["b"]);
+    assert_eq!(list(&restored), ["b"]);
 }
 
-/// Guards against a reader that was told of the return by another node, and then takes the copy for the truth.
+/// Failure: a reader that learns from another node that the store was restored treats the restored store as complete.
 #[test]
-fn after_copy_told_before_read() {
+fn with_changes_restored_store_reported_before_read() {
     let known = Evacuations::default().with_changes(
         &[change("a", true, 3)],
         4,
         EvacuationRead::Incremental,
     );
-    let returned = known.with_changes(&[], later(3), EvacuationRead::Full);
+    let restored = known.with_changes(&[], second_epoch(3), EvacuationRead::Full);
     let mut other = known;
-    assert!(other.replace_if_newer(&returned));
-    for next in [later(3), later(4)] {
+    assert!(other.replace_if_newer(&restored));
+    for next in [second_epoch(3), second_epoch(4)] {
         let read = other.with_changes(&[], next, EvacuationRead::Full);
         assert_eq!(list(&read), ["a"]);
     }
 }
 
-/// Guards against an evacuation that is in force for good, since its end was lost and nobody wrote it again.
+/// Failure: an evacuation stays in force forever, because the store lost the record that ended it and nobody wrote it again.
 #[test]
-fn after_copy_second_read() {
+fn with_changes_restored_store_second_read() {
     let known = Evacuations::default().with_changes(
         &[change("a", true, 3)],
         4,
         EvacuationRead::Incremental,
     );
-    let returned = known.with_changes(&[], later(3), EvacuationRead::Full);
-    assert_eq!(list(&returned), ["a"]);
-    let settled = returned.with_changes(&[], later(3), EvacuationRead::AfterRewrites);
+    let restored = known.with_changes(&[], second_epoch(3), EvacuationRead::Full);
+    assert_eq!(list(&restored), ["a"]);
+    let settled = restored.with_changes(&[], second_epoch(3), EvacuationRead::AfterRewrites);
     assert!(list(&settled).is_empty());
-    let mut other = returned;
+    let mut other = restored;
     assert!(other.replace_if_newer(&settled));
     assert!(list(&other).is_empty());
 }
 
-/// Whatever a copy lacks and whatever is written again: after the second read, nodes that read it agree with the store, and a zone
-/// whose evacuation nobody has taken back stays evacuated all the while.
+/// Whatever a restored store lacks and whatever is written again: after the second full read, nodes agree with the store. Until
+/// then, a zone whose evacuation nobody has ended stays evacuated.
 #[test]
-fn after_copy_drawn_changes() {
+fn with_changes_restored_store_generated_changes() {
     check!()
         .with_type::<(Vec<(u8, bool)>, u8)>()
-        .for_each(|(drawn, kept)| {
+        .for_each(|(generated, kept)| {
             let names = ["a", "b", "c"];
-            let log: Vec<(&str, bool)> = drawn
+            let log: Vec<(&str, bool)> = generated
                 .iter()
                 .map(|(zone, evacuated)| (names[usize::from(*zone) % names.len()], *evacuated))
                 .collect();
             let kept = usize::from(*kept).min(log.len());
-            let read = |records: &[(&str, bool)], first: u64, era: u64| -> Vec<EvacuationChange> {
-                (first..)
-                    .zip(records)
-                    .map(|(offset, (zone, evacuated))| {
-                        change(
-                            zone,
-                            *evacuated,
-                            StorePosition { epoch: era, offset }.pack(),
-                        )
-                    })
-                    .collect()
-            };
-            let end = |era, offset: usize| {
+            let build_changes =
+                |records: &[(&str, bool)], first: u64, epoch: u64| -> Vec<EvacuationChange> {
+                    (first..)
+                        .zip(records)
+                        .map(|(offset, (zone, evacuated))| {
+                            change(zone, *evacuated, StorePosition { epoch, offset }.pack())
+                        })
+                        .collect()
+                };
+            let build_end = |epoch, offset: usize| {
                 let offset = offset as u64;
-                StorePosition { epoch: era, offset }.pack()
+                StorePosition { epoch, offset }.pack()
             };
-            let newest = |records: &[(&str, bool)], era| -> Vec<EvacuationChange> {
-                let all = read(records, 0, era);
-                let is_newest = |change: &EvacuationChange| {
+            let latest = |records: &[(&str, bool)], epoch| -> Vec<EvacuationChange> {
+                let all = build_changes(records, 0, epoch);
+                let is_latest = |change: &EvacuationChange| {
                     let newer = |other: &EvacuationChange| {
                         other.zone == change.zone && other.position > change.position
                     };
                     change.evacuated && !all.iter().any(newer)
                 };
                 all.iter()
-                    .filter(|change| is_newest(change))
+                    .filter(|change| is_latest(change))
                     .cloned()
                     .collect()
             };
             let known = Evacuations::default().with_changes(
-                &read(&log, 0, 1),
-                end(1, log.len()),
+                &build_changes(&log, 0, 1),
+                build_end(1, log.len()),
                 EvacuationRead::Incremental,
             );
             let before = list(&known).join(",");
-            let returned =
-                known.with_changes(&newest(&log[..kept], 2), end(2, kept), EvacuationRead::Full);
+            let restored = known.with_changes(
+                &latest(&log[..kept], 2),
+                build_end(2, kept),
+                EvacuationRead::Full,
+            );
             let lost = log[kept..].iter().filter(|(_, evacuated)| !evacuated);
             if lost.count() == 0 || kept == log.len() {
-                assert_eq!(list(&returned).join(","), before);
+                assert_eq!(list(&restored).join(","), before);
             }
             for zone in known.zones() {
-                assert!(returned.contains(zone), "{zone} of {log:?}, {kept} kept");
+                assert!(restored.contains(zone), "{zone} of {log:?}, {kept} kept");
             }
-            // All that was lost is written again, in the same order.
-            let lost = read(&log[kept..], kept as u64, 2);
+            // All lost records are written again, in the same order.
+            let lost = build_changes(&log[kept..], kept as u64, 2);
             let written =
-                returned.with_changes(&lost, end(2, log.len()), EvacuationRead::Incremental);
+                restored.with_changes(&lost, build_end(2, log.len()), EvacuationRead::Incremental);
             let settled = written.with_changes(
-                &newest(&log, 2),
-                end(2, log.len()),
+                &latest(&log, 2),
+                build_end(2, log.len()),
                 EvacuationRead::AfterRewrites,
             );
             assert_eq!(list(&settled).join(","), before);
--- a/tests/integration/routing_table.rs
+++ b/tests/integration/routing_table.rs
@@ -1,4 +1,4 @@
-//! Looking up the route of a request.
+//! Route lookup by host and path.
 
 use bolero::check;
 use camphorturn::state::{
@@ -7,12 +7,12 @@
 };
 use std::{cmp::Reverse, rc::Rc, time::Duration};
 
-/// Pieces that drawn prefixes and paths are put together from: few, so that many of them fit.
-const PIECES: [&str; 8] = ["/", "/", "/", "a", "b", "é", "", ""];
-/// Hosts of drawn routes. Tables from elsewhere may hold one in upper case.
-const HOSTS: [&str; 3] = ["shop.example", "SHOP.example", "desk.example"];
-/// Hosts as clients write them.
-const ASKED: [&str; 6] = [
+/// Parts of generated prefixes and paths. There are few of them, so that many paths match a prefix.
+const PARTS: [&str; 8] = ["/", "/", "/", "a", "b", "é", "", ""];
+/// Hosts of generated routes. Tables from other sources may have a host in upper case.
+const ROUTE_HOSTS: [&str; 3] = ["shop.example", "SHOP.example", "desk.example"];
+/// `Host` headers as clients write them.
+const REQUEST_HOSTS: [&str; 6] = [
     "shop.example",
     "SHOP.example",
     "Shop.Example:8080",
@@ -21,7 +21,7 @@
     "other.example",
 ];
 
-fn route(class: usize, host: &str, prefix: &str) -> Rc<Route> {
+fn build_route(class: usize, host: &str, prefix: &str) -> Rc<Route> {
     Rc::new(Route {
         class: class.to_string().as_str().into(),
         host: host.into(),
@@ -38,42 +38,51 @@
     })
 }
 
-fn table<'a>(places: impl IntoIterator<Item = (&'a str, &'a str)>) -> RoutingTable {
-    let places = places.into_iter().enumerate();
+fn build_table<'a>(locations: impl IntoIterator<Item = (&'a str, &'a str)>) -> RoutingTable {
+    let locations = locations.into_iter().enumerate();
     RoutingTable {
         version: ConfigurationVersion(1),
-        routes: places
-            .map(|(class, (host, prefix))| route(class, host, prefix))
+        routes: locations
+            .map(|(class, (host, prefix))| build_route(class, host, prefix))
             .collect(),
         services: Vec::new(),
         limits: ClientLimits::default(),
     }
 }
 
-/// The route with the longest prefix, the first in the table among those of one length, by looking at all of them.
-fn search<'a>(table: &'a RoutingTable, asked: &str, path: &str) -> Option<&'a Rc<Route>> {
-    let name = asked.rsplit_once(':').map_or(asked, |(name, _port)| name);
-    let of = |host: &str| -> Vec<&'a Rc<Route>> {
+/// Finds the route with the longest matching prefix by comparing all routes. Of routes with equally long prefixes, it finds the
+/// first in the table.
+fn find_by_scan<'a>(
+    table: &'a RoutingTable,
+    host_header: &str,
+    path: &str,
+) -> Option<&'a Rc<Route>> {
+    let name = host_header
+        .rsplit_once(':')
+        .map_or(host_header, |(name, _port)| name);
+    let list_routes = |host: &str| -> Vec<&'a Rc<Route>> {
         let routes = table.routes.iter();
         routes.filter(|route| route.host == host).collect()
     };
-    let mut routes = of(name);
+    let mut routes = list_routes(name);
     if routes.is_empty() {
-        routes = of(&name.to_ascii_lowercase());
+        routes = list_routes(&name.to_ascii_lowercase());
     }
-    let fitting = routes
+    let matching = routes
         .into_iter()
         .filter(|route| path.starts_with(route.path_prefix.as_str()));
-    // Of several least ones `min_by_key` gives the first.
-    fitting.min_by_key(|route| Reverse(route.path_prefix.len()))
+    // Of several minimum elements, `min_by_key` returns the first.
+    matching.min_by_key(|route| Reverse(route.path_prefix.len()))
 }
 
-fn spell(drawn: &[u8]) -> String {
-    let pieces = drawn.iter().map(|at| PIECES[usize::from(*at) % 8]);
-    pieces.collect()
+fn build_path(generated: &[u8]) -> String {
+    let parts = generated
+        .iter()
+        .map(|number| PARTS[usize::from(*number) % 8]);
+    parts.collect()
 }
 
-fn classes_at<'a>(index: &'a RouteIndex, paths: &[&str]) -> Vec<&'a str> {
+fn find_classes<'a>(index: &'a RouteIndex, paths: &[&str]) -> Vec<&'a str> {
     let class = |path: &&str| {
         let found = index.find_route("shop.example", path);
         found.map_or("none", |route| route.class.as_str())
@@ -82,23 +91,27 @@
 }
 
 #[test]
-fn find_same_as_search() {
+fn find_route_same_as_scan() {
     check!()
         .with_type::<(Vec<(u8, [u8; 5])>, Vec<[u8; 8]>)>()
-        .for_each(|(places, paths)| {
-            let places: Vec<(&str, String)> = places
+        .for_each(|(locations, paths)| {
+            let locations: Vec<(&str, String)> = locations
                 .iter()
-                .map(|(host, prefix)| (HOSTS[usize::from(*host) % 3], spell(prefix)))
+                .map(|(host, prefix)| (ROUTE_HOSTS[usize::from(*host) % 3], build_path(prefix)))
                 .collect();
-            let table = table(places.iter().map(|(host, prefix)| (*host, prefix.as_str())));
+            let table = build_table(
+                locations
+                    .iter()
+                    .map(|(host, prefix)| (*host, prefix.as_str())),
+            );
             let index = RouteIndex::new(table.clone());
-            let below = places.iter().map(|(_, prefix)| format!("{prefix}a/b"));
-            for path in paths.iter().map(|path| spell(path)).chain(below) {
-                for asked in ASKED {
+            let below = locations.iter().map(|(_, prefix)| format!("{prefix}a/b"));
+            for path in paths.iter().map(|path| build_path(path)).chain(below) {
+                for host_header in REQUEST_HOSTS {
                     assert_eq!(
-                        index.find_route(asked, &path),
-                        search(&table, asked, &path),
-                        "{asked} {path}"
+                        index.find_route(host_header, &path),
+                        find_by_scan(&table, host_header, &path),
+                        "{host_header} {path}"
                     );
                 }
             }
@@ -106,22 +119,22 @@
 }
 
 #[test]
-fn find_odd_prefix() {
+fn find_route_unusual_prefixes() {
     let prefixes = ["/a", "/a/", "", "/a/bé", "/a/b/"];
-    let index = RouteIndex::new(table(prefixes.map(|prefix| ("shop.example", prefix))));
+    let index = RouteIndex::new(build_table(prefixes.map(|prefix| ("shop.example", prefix))));
     let paths = ["/ab", "/a/", "x", "/a/béc", "/a/bè", "/a/b/é", ""];
     assert_eq!(
-        classes_at(&index, &paths),
+        find_classes(&index, &paths),
         ["0", "1", "2", "3", "1", "4", "2"]
     );
 }
 
 #[test]
-fn find_first_of_same_prefix() {
+fn find_route_duplicate_prefix_first_wins() {
     let prefixes = ["/a/", "/a/b/", "/a/", "/a/b/"];
-    let index = RouteIndex::new(table(prefixes.map(|prefix| ("shop.example", prefix))));
+    let index = RouteIndex::new(build_table(prefixes.map(|prefix| ("shop.example", prefix))));
     assert_eq!(
-        classes_at(&index, &["/a/", "/a/b/c", "/c/"]),
+        find_classes(&index, &["/a/", "/a/b/c", "/c/"]),
         ["0", "1", "none"]
     );
 }
--- a/tests/integration/store_position.rs
+++ b/tests/integration/store_position.rs
@@ -1,50 +1,50 @@
-//! Places in a topic of the store, over its eras.
+//! Positions in a topic of the store, across epochs.
 
 use bolero::check;
 use camphorturn::state::store_position::StorePosition;
 
-const fn place(era: u64, offset: u64) -> StorePosition {
-    StorePosition { epoch: era, offset }
+const fn position(epoch: u64, offset: u64) -> StorePosition {
+    StorePosition { epoch, offset }
 }
 
-/// Packed places are in the order of their eras, then of their offsets, and lose nothing.
+/// Packed positions are ordered by epoch, then by offset, and unpack to the same position.
 #[test]
-fn pack_drawn_places() {
+fn pack_keeps_order_and_value() {
     check!().with_type::<(u16, u32, u16, u32)>().for_each(
-        |(era, offset, other_era, other_offset)| {
-            let first = place(u64::from(*era), u64::from(*offset));
-            let second = place(u64::from(*other_era), u64::from(*other_offset));
+        |(epoch, offset, other_epoch, other_offset)| {
+            let first = position(u64::from(*epoch), u64::from(*offset));
+            let second = position(u64::from(*other_epoch), u64::from(*other_offset));
             assert_eq!(StorePosition::unpack(first.pack()), first);
             assert_eq!(first.cmp(&second), first.pack().cmp(&second.pack()));
         },
     );
 }
 
-/// Guards against an era that doesn't begin at one, such as a time in seconds, and doesn't fit: each read would count as answered in
-/// another era.
+/// Failure: an epoch that doesn't start at 1, such as a Unix time in seconds, doesn't fit into a packed position. Each read would
+/// then seem to be answered in another epoch.
 #[test]
-fn pack_era_of_time() {
-    let first = place(1_800_000_000, 7);
+fn pack_epoch_of_unix_time() {
+    let first = position(1_800_000_000, 7);
     assert_eq!(StorePosition::unpack(first.pack()), first);
-    assert!(first.pack() < place(1_800_000_001, 0).pack());
+    assert!(first.pack() < position(1_800_000_001, 0).pack());
 }
 
 #[test]
-fn pack_without_era() {
-    assert_eq!(place(0, 7).pack(), 7);
-    assert_eq!(place(0, 7).pack() + 1, place(0, 8).pack());
+fn pack_without_epoch() {
+    assert_eq!(position(0, 7).pack(), 7);
+    assert_eq!(position(0, 7).pack() + 1, position(0, 8).pack());
 }
 
 #[test]
-fn is_of_earlier_era_unknown_place() {
-    let later = place(2, 0).pack();
+fn is_of_earlier_era_unknown_position() {
+    let later = position(2, 0).pack();
     assert!(!StorePosition::is_of_earlier_epoch(0, later));
     assert!(StorePosition::is_of_earlier_epoch(
-        place(1, 9).pack(),
+        position(1, 9).pack(),
         later
     ));
     assert!(!StorePosition::is_of_earlier_epoch(
         later,
-        place(2, 5).pack()
+        position(2, 5).pack()
     ));
 }
--- a/tests/integration/table_change.rs
+++ b/tests/integration/table_change.rs
@@ -1,4 +1,4 @@
-//! What turns a routing table into a later one, and the tables that are kept for it.
+//! Changes between versions of a routing table, and the earlier tables that are kept to compute them.
 
 use arcstr::ArcStr;
 use bolero::{TypeGenerator, check};
@@ -12,41 +12,41 @@
 use serde_json::Value;
 use std::{collections::HashSet, rc::Rc, time::Duration};
 
-/// Tables before the one in force that a node keeps.
-const EARLIER: u64 = 8;
+/// Number of earlier tables that a node keeps.
+const KEPT_TABLES: u64 = 8;
 
 #[derive(Clone, Debug, TypeGenerator)]
-struct DrawnRoute {
+struct GeneratedRoute {
     host: u8,
     path: u8,
     class: u8,
     service: u8,
     weight: u8,
-    terms: u8,
+    settings: u8,
 }
 
 #[derive(Clone, Debug, TypeGenerator)]
 enum Edit {
-    Add(DrawnRoute),
+    Add(GeneratedRoute),
     Remove(u8),
-    Replace(u8, DrawnRoute),
+    Replace(u8, GeneratedRoute),
     MoveToService(u8, u8),
-    Weigh(u8, u8),
-    Swap(u8, u8),
-    ServicePath(u8),
+    SetWeight(u8, u8),
+    SwapRoutes(u8, u8),
+    SetHealthPath(u8),
     AddService(u8),
-    Body(u8),
+    SetMaxBody(u8),
 }
 
-/// A table and what is done to it to get the next one.
+/// A table, and the edits that turn it into the next version.
 #[derive(Clone, Debug, TypeGenerator)]
-struct DrawnPair {
-    base: Vec<DrawnRoute>,
+struct GeneratedPair {
+    base: Vec<GeneratedRoute>,
     services: u8,
     edits: Vec<Edit>,
 }
 
-impl DrawnPair {
+impl GeneratedPair {
     fn build(&self) -> (RoutingTable, RoutingTable) {
         let routes = self.base.iter().map(build_route).map(Rc::new);
         let base = RoutingTable {
@@ -76,29 +76,29 @@
     }
 }
 
-fn build_route(drawn: &DrawnRoute) -> Route {
+fn build_route(generated: &GeneratedRoute) -> Route {
     let first = WeightedService {
-        service: service_name(drawn.service),
-        weight: u32::from(drawn.weight % 3),
+        service: service_name(generated.service),
+        weight: u32::from(generated.weight % 3),
     };
     let second = WeightedService {
-        service: service_name(drawn.service / 4),
+        service: service_name(generated.service / 4),
         weight: 1,
     };
-    let services = if drawn.weight > 127 {
+    let services = if generated.weight > 127 {
         vec![first, second]
     } else {
         vec![first]
     };
     Route {
-        class: ClassName::from(format!("class-{}", drawn.class).as_str()),
-        host: ArcStr::from(format!("host-{}", drawn.host % 3)),
-        path_prefix: ArcStr::from(format!("/{}/", drawn.path % 16)),
-        idempotent: drawn.terms & 1 == 0,
-        timeout: Duration::from_millis(u64::from(drawn.terms / 2 % 3)),
-        target: Duration::from_millis(u64::from(drawn.terms / 8 % 2)),
-        priority: drawn.terms / 16 % 2,
-        max_attempts: u16::from(drawn.terms / 32 % 2),
+        class: ClassName::from(format!("class-{}", generated.class).as_str()),
+        host: ArcStr::from(format!("host-{}", generated.host % 3)),
+        path_prefix: ArcStr::from(format!("/{}/", generated.path % 16)),
+        idempotent: generated.settings & 1 == 0,
+        timeout: Duration::from_millis(u64::from(generated.settings / 2 % 3)),
+        target: Duration::from_millis(u64::from(generated.settings / 8 % 2)),
+        priority: generated.settings / 16 % 2,
+        max_attempts: u16::from(generated.settings / 32 % 2),
         services,
     }
 }
@@ -106,118 +106,121 @@
 fn apply_edit(table: &mut RoutingTable, edit: &Edit) {
     let routes = &mut table.routes;
     let count = routes.len();
-    let place = |number: &u8| (count > 0).then(|| usize::from(*number) % count);
+    let find_index = |number: &u8| (count > 0).then(|| usize::from(*number) % count);
     match edit {
-        Edit::Add(drawn) => routes.push(Rc::new(build_route(drawn))),
+        Edit::Add(generated) => routes.push(Rc::new(build_route(generated))),
         Edit::Remove(number) => {
-            place(number).map(|place| routes.remove(place));
+            find_index(number).map(|index| routes.remove(index));
         }
-        Edit::Replace(number, drawn) => {
-            if let Some(place) = place(number) {
-                routes[place] = Rc::new(build_route(drawn));
+        Edit::Replace(number, generated) => {
+            if let Some(index) = find_index(number) {
+                routes[index] = Rc::new(build_route(generated));
             }
         }
         Edit::MoveToService(number, service) => {
-            if let Some(place) = place(number) {
-                Rc::make_mut(&mut routes[place]).services[0].service = service_name(*service);
+            if let Some(index) = find_index(number) {
+                Rc::make_mut(&mut routes[index]).services[0].service = service_name(*service);
             }
         }
-        Edit::Weigh(number, weight) => {
-            if let Some(place) = place(number) {
-                Rc::make_mut(&mut routes[place]).services[0].weight = u32::from(*weight);
+        Edit::SetWeight(number, weight) => {
+            if let Some(index) = find_index(number) {
+                Rc::make_mut(&mut routes[index]).services[0].weight = u32::from(*weight);
             }
         }
-        Edit::Swap(one, other) => {
-            if let (Some(one), Some(other)) = (place(one), place(other)) {
+        Edit::SwapRoutes(one, other) => {
+            if let (Some(one), Some(other)) = (find_index(one), find_index(other)) {
                 routes.swap(one, other);
             }
         }
-        Edit::ServicePath(number) => {
-            if let Some(facts) = table.services.first_mut() {
-                facts.health_path = ArcStr::from(format!("/health-{number}"));
+        Edit::SetHealthPath(number) => {
+            if let Some(service) = table.services.first_mut() {
+                service.health_path = ArcStr::from(format!("/health-{number}"));
             }
         }
         Edit::AddService(number) => table.services.push(build_service(*number)),
-        Edit::Body(bytes) => table.limits.max_body_bytes = usize::from(*bytes),
+        Edit::SetMaxBody(bytes) => table.limits.max_body_bytes = usize::from(*bytes),
     }
 }
 
-fn has_twins(table: &RoutingTable) -> bool {
+fn has_duplicate_routes(table: &RoutingTable) -> bool {
     let mut seen = HashSet::new();
     let mut routes = table.routes.iter();
     !routes.all(|route| seen.insert((&route.host, &route.path_prefix)))
 }
 
-/// A table with its routes in a fixed order.
-fn sorted(mut table: RoutingTable) -> RoutingTable {
+/// Sorts the routes of a table, to compare tables regardless of their order.
+fn sort_routes(mut table: RoutingTable) -> RoutingTable {
     table
         .routes
         .sort_by_cached_key(|route| format!("{route:?}"));
     table
 }
 
-fn over_json(change: &TableChange) -> TableChange {
+/// Encodes a change as JSON and decodes it.
+fn round_trip_json(change: &TableChange) -> TableChange {
     let text = serde_json::to_vec(change).expect("a change can be written");
     serde_json::from_slice(&text).expect("a change can be read")
 }
 
 #[test]
-fn apply_gives_the_table() {
-    check!().with_type::<DrawnPair>().for_each(|pair| {
+fn apply_results_in_table() {
+    check!().with_type::<GeneratedPair>().for_each(|pair| {
         let (base, table) = pair.build();
         let change = TableChange::between(Some(&base), &table);
-        assert_eq!(over_json(&change), change);
-        match over_json(&change).apply(Some(&base)) {
-            Ok(applied) => assert_eq!(sorted(applied), sorted(table)),
+        assert_eq!(round_trip_json(&change), change);
+        match round_trip_json(&change).apply(Some(&base)) {
+            Ok(applied) => assert_eq!(sort_routes(applied), sort_routes(table)),
             Err(error) => {
                 assert_eq!(error, ChangeError::ChecksumMismatch);
-                assert!(has_twins(&base) || has_twins(&table));
+                assert!(has_duplicate_routes(&base) || has_duplicate_routes(&table));
             }
         }
     });
 }
 
 #[test]
-fn apply_whole_table() {
-    check!().with_type::<DrawnPair>().for_each(|pair| {
+fn apply_complete_table() {
+    check!().with_type::<GeneratedPair>().for_each(|pair| {
         let (base, table) = pair.build();
-        let change = over_json(&TableChange::between(None, &table));
-        let expected = sorted(table);
+        let change = round_trip_json(&TableChange::between(None, &table));
+        let expected = sort_routes(table);
         for known in [None, Some(&base)] {
-            let applied = change.apply(known).expect("a whole table needs no base");
-            assert_eq!(sorted(applied), expected);
+            let applied = change.apply(known).expect("a complete table needs no base");
+            assert_eq!(sort_routes(applied), expected);
         }
     });
 }
 
 #[test]
 fn apply_keeps_routes_shared() {
-    check!().with_type::<DrawnPair>().for_each(|pair| {
+    check!().with_type::<GeneratedPair>().for_each(|pair| {
         let (base, table) = pair.build();
-        let change = over_json(&TableChange::between(Some(&base), &table));
-        if has_twins(&base) || has_twins(&table) {
+        let change = round_trip_json(&TableChange::between(Some(&base), &table));
+        if has_duplicate_routes(&base) || has_duplicate_routes(&table) {
             return;
         }
-        let applied = change.apply(Some(&base)).expect("it fits");
-        let stays = |route: &&Rc<Route>| base.routes.contains(*route);
-        for route in applied.routes.iter().filter(stays) {
+        let applied = change
+            .apply(Some(&base))
+            .expect("it is based on this table");
+        let is_unchanged = |route: &&Rc<Route>| base.routes.contains(*route);
+        for route in applied.routes.iter().filter(is_unchanged) {
             assert!(base.routes.iter().any(|known| Rc::ptr_eq(known, route)));
         }
     });
 }
 
-/// Symptom: a node routes by a table that nobody published. Sequence: it gets a change to a version that it hasn't, or its
-/// table of that version is another one. Cause: the change is applied all the same.
+/// Failure: a node routes by a table that nobody published, because it applies a change that is based on a version that it doesn't
+/// have, or on a different table of the same version.
 #[test]
-fn apply_to_another_base() {
+fn apply_to_different_base() {
     check!()
-        .with_type::<(DrawnPair, DrawnPair)>()
+        .with_type::<(GeneratedPair, GeneratedPair)>()
         .for_each(|(pair, other)| {
             let (base, table) = pair.build();
             let change = TableChange::between(Some(&base), &table);
             let (mut other, _) = other.build();
             if let Ok(applied) = change.apply(Some(&other)) {
-                assert_eq!(sorted(applied), sorted(table));
+                assert_eq!(sort_routes(applied), sort_routes(table));
             }
             other.version = ConfigurationVersion(6);
             assert_eq!(
@@ -238,7 +241,8 @@
     }
 }
 
-/// Changes the part of a value with this number: drops an element of a list, or makes another of a scalar.
+/// Changes the part of a value with this number: removes an element of a list, or modifies a scalar. Returns whether it found the
+/// part.
 fn tamper(value: &mut Value, number: &mut usize) -> bool {
     match value {
         Value::Array(list) => {
@@ -262,11 +266,11 @@
     true
 }
 
-/// Symptom: a node routes by a table that nobody published. Cause: a change that was damaged is applied.
+/// Failure: a node routes by a table that nobody published, because it applies a corrupted change.
 #[test]
 fn apply_tampered() {
     check!()
-        .with_type::<(DrawnPair, u16)>()
+        .with_type::<(GeneratedPair, u16)>()
         .for_each(|(pair, number)| {
             let (base, table) = pair.build();
             let change = TableChange::between(Some(&base), &table);
@@ -278,7 +282,7 @@
             };
             assert_ne!(tampered, change);
             if let Ok(applied) = tampered.apply(Some(&base)) {
-                assert_eq!(sorted(applied), sorted(table));
+                assert_eq!(sort_routes(applied), sort_routes(table));
             }
         });
 }
@@ -300,7 +304,7 @@
     }
 }
 
-/// As many routes as the version, in strings of their own, as a store gives them.
+/// A table with as many routes as its version. As in tables read from the store, no strings are shared with other tables.
 fn numbered_table(version: u64) -> RoutingTable {
     RoutingTable {
         version: ConfigurationVersion(version),
@@ -311,7 +315,7 @@
 }
 
 #[test]
-fn apply_tampered_digest() {
+fn apply_tampered_checksum() {
     let (base, table) = (numbered_table(3), numbered_table(4));
     let change = TableChange::between(Some(&base), &table);
     for member in ["digest", "version"] {
@@ -327,14 +331,14 @@
 }
 
 #[test]
-fn take_never_older() {
+fn replace_if_newer_generated_versions() {
     check!().with_type::<Vec<u8>>().for_each(|versions| {
         let mut history = TableHistory::default();
         for version in versions {
             let before = history.version();
             let version = ConfigurationVersion(u64::from(*version % 32));
-            let taken = history.replace_if_newer(numbered_table(version.0));
-            assert_eq!(taken, version > before);
+            let is_replaced = history.replace_if_newer(numbered_table(version.0));
+            assert_eq!(is_replaced, version > before);
             assert_eq!(history.version(), version.max(before));
             let routes = history.current().map_or(0, |now| now.table().routes.len());
             assert_eq!(routes as u64, history.version().0);
@@ -350,38 +354,41 @@
     for version in 1..=LAST {
         history.replace_if_newer(numbered_table(version));
     }
-    let expected = sorted(numbered_table(LAST));
+    let expected = sort_routes(numbered_table(LAST));
     for version in 0..LAST {
-        let asked = ConfigurationVersion(version);
-        let change = history.change_since(asked).expect("it is older");
-        let is_kept = version >= LAST - EARLIER;
-        assert_eq!(change.base, is_kept.then_some(asked));
+        let base_version = ConfigurationVersion(version);
+        let change = history.change_since(base_version).expect("it is older");
+        let is_kept = version >= LAST - KEPT_TABLES;
+        assert_eq!(change.base, is_kept.then_some(base_version));
         let base = numbered_table(version);
-        let applied = change.apply(Some(&base)).expect("it fits");
-        assert_eq!(sorted(applied), expected);
+        let applied = change
+            .apply(Some(&base))
+            .expect("it is based on this table");
+        assert_eq!(sort_routes(applied), expected);
     }
     for version in [LAST, LAST + 1] {
         assert_eq!(history.change_since(ConfigurationVersion(version)), None);
     }
 }
 
-/// Symptom: a node answers with a change that leads to a former version. Cause: what was told before is kept over a take.
+/// Failure: a node answers with a change that results in an earlier version, because computed changes are kept after a newer table
+/// was put in force.
 #[test]
-fn change_since_after_take() {
+fn change_since_after_replace() {
     let mut history = TableHistory::default();
     for version in 1..=6 {
         history.replace_if_newer(numbered_table(version));
         for older in 0..version {
             let change = history.change_since(ConfigurationVersion(older));
-            let leads_to = change.map(|change| change.version);
-            assert_eq!(leads_to, Some(ConfigurationVersion(version)));
+            let result_version = change.map(|change| change.version);
+            assert_eq!(result_version, Some(ConfigurationVersion(version)));
         }
     }
 }
 
-/// Symptom: a node grows by a table of thousands of routes with each change. Cause: the tables that are kept share nothing.
+/// Failure: the memory of a node grows by a table of thousands of routes with each change, because kept tables share no routes.
 #[test]
-fn take_shares_routes() {
+fn replace_if_newer_shares_routes() {
     let mut history = TableHistory::default();
     history.replace_if_newer(numbered_table(5));
     let first = Rc::clone(history.current().expect("a table"));
@@ -389,8 +396,8 @@
     Rc::make_mut(&mut next.routes[2]).priority = 0;
     history.replace_if_newer(next);
     let second = history.current().expect("a table");
-    for place in [0, 1, 3, 4] {
-        let (before, now) = (&first.table().routes[place], &second.table().routes[place]);
+    for index in [0, 1, 3, 4] {
+        let (before, now) = (&first.table().routes[index], &second.table().routes[index]);
         assert!(Rc::ptr_eq(before, now));
     }
     assert_eq!(second.table().routes[2].priority, 0);
