--- a/src/state/ablation.rs
+++ b/src/state/ablation.rs
@@ -17,7 +17,7 @@
     NodeBackoff,
     /// Sets `Retry-After` of a refusal to the time when the queue will have been worked off, instead of to the minimum.
     RetryAfterEstimate,
-    /// Sends a request that must not run twice on a recently used or a new connection only.
+    /// Sends a non-idempotent request only on a recently used or new connection.
     FreshConnections,
     /// Sends a request to a second upstream after the first one failed.
     Retries,
--- a/src/state/known_node.rs
+++ b/src/state/known_node.rs
@@ -14,11 +14,11 @@
 /// Longest backoff between two attempts to reach a node. It limits how late a node that can be reached again is used.
 const MAX_BACKOFF: Duration = Duration::from_secs(1);
 
-/// A refusal is valid for the reported completion time divided by this. A queue that delays a request by that much is not
-/// worked off in a quarter of the time.
+/// A refusal stays valid for the reported completion time divided by this number: a queue that delays a request by that time isn't
+/// worked off in a quarter of it.
 const REFUSAL_VALIDITY_DIVISOR: u32 = 4;
 
-/// What a node announces about itself and its local upstream. Stored in the store as JSON.
+/// What a node announces about itself and its local upstream. Written to the store as JSON.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodeRecord {
     /// Name of the node.
--- a/src/state/quarantine.rs
+++ b/src/state/quarantine.rs
@@ -59,9 +59,9 @@
         now: Timestamp,
     ) -> bool {
         self.remove_expired(now);
-        let is_lifted =
+        let was_lifted =
             source == QuarantineSource::Reported && self.lifted.contains_key(&fingerprint);
-        if is_lifted || self.requests.contains_key(&fingerprint) {
+        if was_lifted || self.requests.contains_key(&fingerprint) {
             return false;
         }
         let until = now + QUARANTINE_DURATION;
--- a/src/state/routing_table.rs
+++ b/src/state/routing_table.rs
@@ -149,8 +149,8 @@
         services.find(|known| known.name == *service)
     }
 
-    /// Finds the route of `host` with the longest path prefix that matches `path`. A port in `host` is ignored, and so is letter
-    /// case.
+    /// Finds the route of `host` with the longest path prefix that matches `path`. A port in `host` is ignored. If the
+    /// table doesn't have this host, its lower-case form is looked up.
     #[must_use]
     pub fn find_route(&self, host: &str, path: &str) -> Option<&Rc<Route>> {
         let name = host.rsplit_once(':').map_or(host, |(name, _port)| name);
--- a/tests/integration/store_position.rs
+++ b/tests/integration/store_position.rs
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn is_of_earlier_era_unknown_position() {
+fn is_of_earlier_epoch_unknown_position() {
     let later = position(2, 0).pack();
     assert!(!StorePosition::is_of_earlier_epoch(0, later));
     assert!(StorePosition::is_of_earlier_epoch(
