--- a/src/proxy/events/catalogue.rs
+++ b/src/proxy/events/catalogue.rs
@@ -114,9 +114,9 @@
 
     /// Severity of the end of a whole request. Any refusal is important, since the request was not served.
     #[must_use]
-    pub const fn severity_of_request(&self, late: bool) -> Severity {
+    pub const fn severity_of_request(&self, is_late: bool) -> Severity {
         match self {
-            Self::Answered(status) if *status < 500 && late => Severity::Late,
+            Self::Answered(status) if *status < 500 && is_late => Severity::Late,
             Self::Answered(status) if *status < 500 => Severity::Ordinary,
             Self::ClientLeft | Self::NoRoute => Severity::Ordinary,
             _ => Severity::Important,
--- a/tests/integration/restored_store.rs
+++ b/tests/integration/restored_store.rs
@@ -19,9 +19,9 @@
     SocketAddr::from(([10, 0, 0, number], 7_000))
 }
 
-fn build_record(number: u8, instance: &str, (era, offset): (u64, u64)) -> StoredRecord {
+fn build_record(number: u8, instance: &str, (epoch, offset): (u64, u64)) -> StoredRecord {
     StoredRecord {
-        revision: StorePosition { epoch: era, offset }.pack() + 1,
+        revision: StorePosition { epoch, offset }.pack() + 1,
         record: NodeRecord {
             name: format!("n{number}").as_str().into(),
             address: address(number),
