--- a/src/commands/explain.rs
+++ b/src/commands/explain.rs
@@ -51,9 +51,9 @@
     let Some(collected) = source.collect_or_report()? else {
         return Ok(ExitCode::BadInput);
     };
-    let story = trace_request(&collected.read.runs, &arguments.request);
+    let story = trace_request(&collected.read.incarnations, &arguments.request);
     if let Some(path) = &arguments.html {
-        write_story_page(path, &collected.read.runs, &arguments.request)?;
+        write_story_page(path, &collected.read.incarnations, &arguments.request)?;
     }
     if arguments.json {
         serde_json::to_writer_pretty(&mut *out, &story)?;
@@ -119,12 +119,16 @@
     Ok(())
 }
 
-fn write_story_page(path: &Path, runs: &[NodeIncarnation], request: &str) -> io::Result<()> {
-    let lines: Vec<TimedLine> = order_lines(runs)
+fn write_story_page(
+    path: &Path,
+    incarnations: &[NodeIncarnation],
+    request: &str,
+) -> io::Result<()> {
+    let lines: Vec<TimedLine> = order_lines(incarnations)
         .into_iter()
         .filter(|timed| timed.line.request() == Some(request))
         .collect();
     let mut file = BufWriter::new(File::create(path)?);
-    write_page(&lines, &NodeNames::collect(runs), &[], &mut file)?;
+    write_page(&lines, &NodeNames::collect(incarnations), &[], &mut file)?;
     file.flush()
 }
--- a/src/commands/log_source.rs
+++ b/src/commands/log_source.rs
@@ -143,8 +143,8 @@
             let dropped = self.dropped;
             writeln!(err, "nodes no longer hold {dropped} older lines")?;
         }
-        if self.read.other_lines > 0 {
-            let other = self.read.other_lines;
+        if self.read.unrecognized_lines > 0 {
+            let other = self.read.unrecognized_lines;
             writeln!(err, "passed over {other} lines that no node numbered")?;
         }
         Ok(())
@@ -153,7 +153,7 @@
     fn read_all(&mut self, sources: &[SourceLines<'_>]) {
         let lines = sources.iter().flat_map(|source| &source.lines);
         self.read = split_incarnations(lines.copied());
-        let places = self.read.other_places.iter();
+        let places = self.read.unrecognized_positions.iter();
         self.passed_over = places
             .filter_map(|place| find_line(sources, *place))
             .collect();
--- a/src/commands/logs.rs
+++ b/src/commands/logs.rs
@@ -26,8 +26,8 @@
     let Some(collected) = arguments.source.collect_or_report()? else {
         return Ok(ExitCode::BadInput);
     };
-    let runs = &collected.read.runs;
-    let summary = summarize_lines(runs, &order_lines(runs));
+    let incarnations = &collected.read.incarnations;
+    let summary = summarize_lines(incarnations, &order_lines(incarnations));
     if arguments.json {
         serde_json::to_writer_pretty(&mut *out, &summary)?;
         writeln!(out)?;
--- a/src/commands/misses.rs
+++ b/src/commands/misses.rs
@@ -76,7 +76,7 @@
     };
     write_passed(&collected.passed_over)?;
     let sampling = read_sampling(arguments.one_in);
-    let report = report_misses(&collected.read.runs, arguments.window, sampling);
+    let report = report_misses(&collected.read.incarnations, arguments.window, sampling);
     if arguments.json {
         let view = MissesView {
             report: &report,
@@ -96,7 +96,7 @@
     match (collected.unreached.is_empty(), report.total.lines) {
         (true, 0) => ExitCode::Failed,
         (true, _) => ExitCode::Success,
-        (false, _) if collected.read.runs.is_empty() => ExitCode::Unreachable,
+        (false, _) if collected.read.incarnations.is_empty() => ExitCode::Unreachable,
         (false, _) => ExitCode::Partial,
     }
 }
--- a/src/commands/timeline.rs
+++ b/src/commands/timeline.rs
@@ -94,9 +94,9 @@
     collected: &CollectedLines,
     out: &mut dyn Write,
 ) -> io::Result<()> {
-    let runs = &collected.read.runs;
-    let names = NodeNames::collect(runs);
-    let lines = arguments.selection.select(order_lines(runs));
+    let incarnations = &collected.read.incarnations;
+    let names = NodeNames::collect(incarnations);
+    let lines = arguments.selection.select(order_lines(incarnations));
     match &arguments.html {
         Some(path) => write_page_file(path, &lines, &names, &collected.unreached),
         None => write_lines(&lines, &names, arguments.json, out),
@@ -105,7 +105,7 @@
 
 fn judge(collected: &CollectedLines) -> ExitCode {
     match (
-        collected.read.runs.is_empty(),
+        collected.read.incarnations.is_empty(),
         collected.unreached.is_empty(),
     ) {
         (_, true) => ExitCode::Success,
--- a/src/commands/timeline/page.rs
+++ b/src/commands/timeline/page.rs
@@ -174,7 +174,7 @@
         "<circle cx=\"{}\" cy=\"{}\" r=\"{}\" class=\"{}\"><title>{} {}: {}</title></circle>",
         place.x,
         place.y,
-        if line.telling { 6 } else { 4 },
+        if line.important { 6 } else { 4 },
         name_style(timed),
         line.number,
         Escaped(line.node.as_str()),
@@ -183,7 +183,7 @@
 }
 
 fn name_style(timed: &TimedLine) -> &'static str {
-    if timed.line.telling {
+    if timed.line.important {
         "telling"
     } else {
         "usual"
--- a/src/commands/timeline/selection.rs
+++ b/src/commands/timeline/selection.rs
@@ -42,6 +42,6 @@
             && self.class.as_ref().is_none_or(is_class)
             && self.about.as_ref().is_none_or(is_about)
             && self.event.is_none_or(|number| line.number == number)
-            && (!self.telling || line.telling)
+            && (!self.telling || line.important)
     }
 }
--- a/src/commands/timeline/text.rs
+++ b/src/commands/timeline/text.rs
@@ -39,7 +39,7 @@
         format_time_of_day(timed.at_ms),
         line.node.as_str(),
         line.number,
-        if line.telling { '!' } else { ' ' },
+        if line.important { '!' } else { ' ' },
         describe_line(line, names),
     )?;
     match line.request() {
--- a/src/log_reading.rs
+++ b/src/log_reading.rs
@@ -1,6 +1,6 @@
-//! Reads the lines that nodes wrote, puts those of many nodes in causal order, and tells what they say.
+//! Parses the log lines of nodes, puts those of several nodes in causal order, and derives reports from them.
 //!
-//! Nothing here needs a running node: lines come from files, standard input or nodes' memory.
+//! Nothing here needs a running node: lines come from files, from standard input or from the memory of nodes.
 
 pub mod cause;
 pub mod clocks;
--- a/src/log_reading/cause.rs
+++ b/src/log_reading/cause.rs
@@ -21,7 +21,7 @@
     let Some(end) = lines.end else {
         return find_causes_without_end(lines);
     };
-    match RequestOutcome::judge(end) {
+    match RequestOutcome::classify(end) {
         RequestOutcome::Refused(reason) => explain_refusal(reason, end, lines, names),
         RequestOutcome::Unknown(cause) => explain_unknown(cause, end, lines, names),
         RequestOutcome::UpstreamFailed(status) => {
--- a/src/log_reading/clocks.rs
+++ b/src/log_reading/clocks.rs
@@ -1,8 +1,8 @@
-//! When each run began, on one clock for all.
+//! Estimates when each process started, on one common clock.
 //!
-//! VMs' times of day differ, and jump. Within a run the steady clock orders lines; between runs, an
-//! attempt can't have been served before it was asked for, nor answered after its answer came. These
-//! bounds move the runs against each other until they hold.
+//! The wall clocks of VMs differ and jump. Within an incarnation the monotonic clock orders lines. Between two
+//! incarnations, an attempt can't have been received before it was sent, nor answered after its answer was
+//! received. Each start is shifted until these limits hold.
 
 use crate::log_reading::{
     incarnations::NodeIncarnation,
@@ -10,66 +10,68 @@
 };
 use std::collections::BTreeMap;
 
-/// Passes over all bounds. Each halves what is left of a contradiction between two runs; what lies
-/// several runs apart takes a pass for each.
+/// Number of passes over all limits. Each pass halves the remaining contradiction between two incarnations; a
+/// shift needs one pass per pair to reach an incarnation that is several pairs away.
 const PASSES: usize = 60;
-/// Lines tell whole milliseconds, so each of four figures may be off by one.
+/// Tolerance in milliseconds. Log lines hold whole milliseconds, so each of the four values compared may be off
+/// by one.
 const ROUNDING_MS: f64 = 2.0;
 
-/// What the attempts between two runs allow for the difference of their beginnings.
+/// Limits that the attempts between two incarnations set to the offset between their starts, in milliseconds.
 #[derive(Clone, Copy, Debug)]
-struct Bounds {
-    least: f64,
-    most: f64,
+struct OffsetLimits {
+    min: f64,
+    max: f64,
 }
 
-/// The beginning of each run in milliseconds; of one without any time of day, 0.
+/// Returns the start of each incarnation in milliseconds since the Unix epoch; 0 for one without any wall-clock
+/// time.
 #[must_use]
-pub fn align_clocks(runs: &[NodeIncarnation], attempts: &[MatchedAttempt]) -> Vec<f64> {
-    let mut begins: Vec<f64> = runs.iter().map(estimate_begin).collect();
-    let bounds = collect_bounds(attempts);
+pub fn align_clocks(incarnations: &[NodeIncarnation], attempts: &[MatchedAttempt]) -> Vec<f64> {
+    let mut starts: Vec<f64> = incarnations.iter().map(estimate_start).collect();
+    let limits = collect_limits(attempts);
     for _ in 0..PASSES {
-        for ((entry, other), bounds) in &bounds {
-            let difference = begins[*other] - begins[*entry];
-            let wanted = difference.max(bounds.least).min(bounds.most);
-            let half = (wanted - difference) / 2.0;
-            begins[*other] += half;
-            begins[*entry] -= half;
+        for ((entry, other), limits) in &limits {
+            let offset = starts[*other] - starts[*entry];
+            let allowed = offset.max(limits.min).min(limits.max);
+            let half = (allowed - offset) / 2.0;
+            starts[*other] += half;
+            starts[*entry] -= half;
         }
     }
-    begins
+    starts
 }
 
-/// The median over the lines: a jump of the time of day shifts some of them, seldom half.
-fn estimate_begin(run: &NodeIncarnation) -> f64 {
-    let lines = run.lines.iter();
-    let mut begins: Vec<f64> = lines
+/// Takes the median over the lines: a jump of the wall clock shifts some of them, but seldom half.
+fn estimate_start(incarnation: &NodeIncarnation) -> f64 {
+    let lines = incarnation.lines.iter();
+    let mut starts: Vec<f64> = lines
         .filter_map(|line| Some(as_float(line.wall_ms?) - as_float(line.up_ms)))
         .collect();
-    begins.sort_by(f64::total_cmp);
-    begins.get(begins.len() / 2).copied().unwrap_or_default()
+    starts.sort_by(f64::total_cmp);
+    starts.get(starts.len() / 2).copied().unwrap_or_default()
 }
 
-fn collect_bounds(attempts: &[MatchedAttempt]) -> BTreeMap<(usize, usize), Bounds> {
-    let mut all: BTreeMap<(usize, usize), Bounds> = BTreeMap::new();
+fn collect_limits(attempts: &[MatchedAttempt]) -> BTreeMap<(usize, usize), OffsetLimits> {
+    let mut all: BTreeMap<(usize, usize), OffsetLimits> = BTreeMap::new();
     for attempt in attempts {
-        let runs = (attempt.returned.run, attempt.executed.run);
-        if runs.0 == runs.1 {
+        let incarnations = (attempt.returned.incarnation, attempt.executed.incarnation);
+        if incarnations.0 == incarnations.1 {
             continue;
         }
-        let least = attempt.asked.0 - attempt.served.0 - ROUNDING_MS;
-        let most = attempt.asked.1 - attempt.served.1 + ROUNDING_MS;
-        let bounds = all.entry(runs).or_insert(Bounds { least, most });
-        bounds.least = bounds.least.max(least);
-        bounds.most = bounds.most.min(most);
+        let min = attempt.sent_span.0 - attempt.served_span.0 - ROUNDING_MS;
+        let max = attempt.sent_span.1 - attempt.served_span.1 + ROUNDING_MS;
+        let limits = all.entry(incarnations).or_insert(OffsetLimits { min, max });
+        limits.min = limits.min.max(min);
+        limits.max = limits.max.min(max);
     }
-    for bounds in all.values_mut() {
-        // A clock that ran unevenly allows no difference at all; the middle is the least wrong.
-        if bounds.least > bounds.most {
-            let middle = f64::midpoint(bounds.least, bounds.most);
-            *bounds = Bounds {
-                least: middle,
-                most: middle,
+    for limits in all.values_mut() {
+        // With a clock that drifted, no offset meets all limits; the middle has the smallest error.
+        if limits.min > limits.max {
+            let middle = f64::midpoint(limits.min, limits.max);
+            *limits = OffsetLimits {
+                min: middle,
+                max: middle,
             };
         }
     }
--- a/src/log_reading/description.rs
+++ b/src/log_reading/description.rs
@@ -15,8 +15,8 @@
 impl NodeNames {
     /// The names that the lines tell.
     #[must_use]
-    pub fn collect(runs: &[NodeIncarnation]) -> Self {
-        let addresses = find_addresses(runs).into_iter();
+    pub fn collect(incarnations: &[NodeIncarnation]) -> Self {
+        let addresses = find_addresses(incarnations).into_iter();
         Self(
             addresses
                 .map(|(address, node)| (address.to_string(), node.to_string()))
--- a/src/log_reading/incarnations.rs
+++ b/src/log_reading/incarnations.rs
@@ -1,59 +1,59 @@
-//! Lines by the run of the process that wrote them.
+//! Groups log lines by the process that wrote them: each restart of a node begins a new incarnation.
 
 use crate::{log_reading::line::LogLine, state::names::NodeName};
 use std::collections::BTreeMap;
 
-/// One run of a node's process.
+/// One incarnation of a node: its process from one start to the next.
 #[derive(Clone, Debug)]
 pub struct NodeIncarnation {
-    /// The node.
+    /// Name of the node.
     pub node: NodeName,
-    /// Its lines, as written.
+    /// Lines of the process, in the order in which it wrote them.
     pub lines: Vec<LogLine>,
 }
 
-/// Parsed input.
+/// All parsed lines of an input.
 #[derive(Clone, Debug, Default)]
 pub struct ParsedLog {
-    /// Runs, by node and then as they followed each other.
-    pub runs: Vec<NodeIncarnation>,
-    /// Lines that are no numbered lines of a node.
-    pub other_lines: usize,
-    /// Their positions in the input, from 0 and with empty lines counted.
-    pub other_places: Vec<usize>,
+    /// Incarnations, sorted by node and then by start.
+    pub incarnations: Vec<NodeIncarnation>,
+    /// Number of lines that are not log lines of a node.
+    pub unrecognized_lines: usize,
+    /// Positions of those lines in the input, from 0; empty lines count.
+    pub unrecognized_positions: Vec<usize>,
 }
 
-/// Splits texts into runs. The lines of one process must stand in their order; those of several may be
-/// mixed.
+/// Parses lines and splits them into incarnations. The lines of one process must be in their original order;
+/// those of several processes may be interleaved.
 ///
-/// A restarted process counts its lines from the beginning: that is how its run is told from the one
-/// before, since the time of day may jump in either direction.
+/// A restarted process numbers its lines from the beginning again. A sequence number that doesn't rise
+/// therefore marks a new incarnation; wall-clock time can't, since it may jump in either direction.
 pub fn split_incarnations<'a>(texts: impl Iterator<Item = &'a str>) -> ParsedLog {
-    let mut read = ParsedLog::default();
+    let mut log = ParsedLog::default();
     let mut by_node: BTreeMap<NodeName, Vec<NodeIncarnation>> = BTreeMap::new();
-    let filled = texts
+    let non_empty = texts
         .enumerate()
         .filter(|(_, text)| !text.trim().is_empty());
-    for (place, text) in filled {
+    for (position, text) in non_empty {
         let Some(line) = LogLine::parse(text) else {
-            read.other_lines += 1;
-            read.other_places.push(place);
+            log.unrecognized_lines += 1;
+            log.unrecognized_positions.push(position);
             continue;
         };
-        let runs = by_node.entry(line.node.clone()).or_default();
-        let goes_on = runs
+        let incarnations = by_node.entry(line.node.clone()).or_default();
+        let is_same_process = incarnations
             .last()
-            .and_then(|run| run.lines.last())
+            .and_then(|incarnation| incarnation.lines.last())
             .is_some_and(|last| last.seq < line.seq);
-        if goes_on && let Some(run) = runs.last_mut() {
-            run.lines.push(line);
+        if is_same_process && let Some(incarnation) = incarnations.last_mut() {
+            incarnation.lines.push(line);
         } else {
-            runs.push(NodeIncarnation {
+            incarnations.push(NodeIncarnation {
                 node: line.node.clone(),
                 lines: vec![line],
             });
         }
     }
-    read.runs = by_node.into_values().flatten().collect();
-    read
+    log.incarnations = by_node.into_values().flatten().collect();
+    log
 }
--- a/src/log_reading/line.rs
+++ b/src/log_reading/line.rs
@@ -1,64 +1,64 @@
-//! One line of a node's log.
+//! One log line of a node, parsed from JSON, and how a request or an attempt ended according to it.
 
 use crate::state::names::NodeName;
 use serde::Deserialize;
 use serde_json::{Map, Value};
 use std::{net::SocketAddr, time::UNIX_EPOCH};
 
-/// Numbers of the lines that the reading knows more of than their text. `docs/EVENTS.md` lists all.
+/// Numbers of the events whose fields this module and its users interpret. `docs/EVENTS.md` lists all events.
 pub mod event_numbers {
-    /// A client's request ended.
+    /// A client's request ended. Written by the entry node, which received it.
     pub const REQUEST_ENDED: u16 = 801;
-    /// An entry node learned how an attempt ended.
+    /// An attempt ended. Written by the entry node, which sent it to another node or to its local upstream.
     pub const ATTEMPT_RETURNED: u16 = 802;
-    /// The node beside an upstream decided on an attempt.
+    /// An attempt ended. Written by the executing node, which runs attempts on its local upstream.
     pub const ATTEMPT_EXECUTED: u16 = 803;
-    /// A further attempt was not made for lack of budget.
+    /// A retry was not made because the retry budget was exhausted.
     pub const RETRY_SUPPRESSED: u16 = 804;
-    /// Lines were left out.
+    /// The node suppressed lines because it would have exceeded its rate limit for log lines.
     pub const LINES_DROPPED: u16 = 805;
-    /// Least number of the lines on what a node believes.
+    /// Lowest number of the events that report a change of a node's state or of what it knows of others.
     pub const FIRST_STATE_CHANGE: u16 = 811;
-    /// Another node was asked for what is newer.
+    /// Newer state was fetched from another node.
     pub const STATE_FETCHED: u16 = 826;
-    /// The zone was told what was read from the store.
+    /// The node forwarded what it had read from the store to its availability zone.
     pub const ZONE_NOTIFIED: u16 = 823;
     /// Another node could not be reached.
     pub const NODE_UNREACHABLE: u16 = 831;
-    /// A record of a node was news.
+    /// A new or changed record of another node was received.
     pub const NODE_KNOWN: u16 = 832;
-    /// The upstream beside a node is cold.
+    /// The local upstream is warming up.
     pub const UPSTREAM_WARMING_UP: u16 = 817;
     /// An availability zone was evacuated.
     pub const ZONE_EVACUATED: u16 = 836;
-    /// An evacuated availability zone was taken back.
+    /// An evacuated availability zone was restored.
     pub const ZONE_RESTORED: u16 = 837;
-    /// The process began to serve.
+    /// The process was started.
     pub const NODE_STARTED: u16 = 851;
-    /// The process was told to stop.
+    /// The process was asked to stop.
     pub const STOP_REQUESTED: u16 = 852;
-    /// The process ended.
+    /// The process ended after a graceful stop.
     pub const NODE_STOPPED: u16 = 853;
 }
 
-/// A numbered line.
+/// A log line with an event number.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LogLine {
-    /// The node that wrote it.
+    /// Node that wrote the line.
     pub node: NodeName,
-    /// Rises by one with each line of a process.
+    /// Sequence number: rises by one with each line of a process.
     pub seq: u64,
-    /// Time since the start of the process by its steady clock, in milliseconds.
+    /// Time since the start of the process on its monotonic clock, in milliseconds.
     pub up_ms: u64,
-    /// Time of day in milliseconds since the Unix epoch, if it can be read.
+    /// Wall-clock time in milliseconds since the Unix epoch; none if it could not be parsed.
     pub wall_ms: Option<u64>,
     /// Number of the event.
     pub number: u16,
     /// Name of the event.
     pub name: String,
-    /// Whether it tells of a failure, a refusal or a change.
-    pub telling: bool,
-    /// All other members.
+    /// Whether the line reports a failure, a refusal or a change of state: its level is above INFO.
+    pub important: bool,
+    /// All other JSON fields of the line.
     pub fields: Map<String, Value>,
 }
 
@@ -76,15 +76,15 @@
 }
 
 impl LogLine {
-    /// The line of that text; none if it is no numbered line. Whatever a collector of logs put in front
-    /// of the JSON is passed over.
+    /// Parses a line of text; none if it holds no log line with an event number. A prefix that a log collector
+    /// put before the JSON is skipped.
     #[must_use]
     pub fn parse(text: &str) -> Option<Self> {
         let json = text.get(text.find('{')?..)?;
         let raw: RawLine = serde_json::from_str(json.trim_end()).ok()?;
         Some(Self {
             wall_ms: parse_time(&raw.time),
-            telling: raw.level != "INFO",
+            important: raw.level != "INFO",
             node: raw.node,
             seq: raw.seq,
             up_ms: raw.up_ms,
@@ -94,7 +94,7 @@
         })
     }
 
-    /// A member that is text; empty if there is none.
+    /// Value of a text field; empty if the field is missing or has another type.
     #[must_use]
     pub fn text(&self, name: &str) -> &str {
         self.fields
@@ -103,38 +103,38 @@
             .unwrap_or_default()
     }
 
-    /// A member that is a number; 0 if there is none.
+    /// Value of a numeric field; 0 if the field is missing or has another type.
     #[must_use]
     pub fn number(&self, name: &str) -> u64 {
         self.find_number(name).unwrap_or_default()
     }
 
-    /// A member that is a number, if there is one.
+    /// Value of a numeric field; none if the field is missing or has another type.
     #[must_use]
     pub fn find_number(&self, name: &str) -> Option<u64> {
         self.fields.get(name).and_then(Value::as_u64)
     }
 
-    /// A member that is true.
+    /// Whether a field is `true`.
     #[must_use]
     pub fn is_set(&self, name: &str) -> bool {
         self.fields.get(name).and_then(Value::as_bool) == Some(true)
     }
 
-    /// A member that is an address.
+    /// Value of a field that holds a socket address.
     #[must_use]
     pub fn address(&self, name: &str) -> Option<SocketAddr> {
         self.text(name).parse().ok()
     }
 
-    /// The request it is about, if it is about one.
+    /// Id of the request that the line is about, if any.
     #[must_use]
     pub fn request(&self) -> Option<&str> {
         let text = self.text("request");
         (!text.is_empty()).then_some(text)
     }
 
-    /// How the request or attempt ended.
+    /// How the request or attempt ended, from the field `end`.
     #[must_use]
     pub fn end(&self) -> EndField<'_> {
         match self.fields.get("end") {
@@ -145,23 +145,23 @@
     }
 }
 
-/// How a request or an attempt ended, as a line has it.
+/// How a request or an attempt ended, as written in the field `end` of a line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndField<'a> {
-    /// Answered with a status.
+    /// Answered with this HTTP status.
     Answered(u64),
-    /// Not run, for a reason.
+    /// Not executed, for this reason.
     Refused(&'a str),
-    /// Unknown, for a cause.
+    /// Unknown whether it was executed, for this cause.
     Unknown(&'a str),
-    /// Anything else.
+    /// Any other word; empty if the field is missing or has an unknown form.
     Other(&'a str),
 }
 
 impl<'a> EndField<'a> {
-    /// The request ended while the attempt was under way.
+    /// The request ended while the attempt was in progress.
     pub const ABANDONED: Self = Self::Other("abandoned");
-    /// The client, or the node that asked, went away.
+    /// The client, or the node that sent the attempt, disconnected.
     pub const CLIENT_LEFT: Self = Self::Other("client_left");
 
     fn read(members: &'a Map<String, Value>) -> Self {
@@ -174,7 +174,7 @@
             .unwrap_or(Self::Other(""))
     }
 
-    /// In words.
+    /// The outcome in words, such as `refused: queue full`. The words also serve as keys in JSON output.
     #[must_use]
     pub fn describe(self) -> String {
         match self {
--- a/src/log_reading/matching.rs
+++ b/src/log_reading/matching.rs
@@ -1,4 +1,5 @@
-//! Which line at the node beside an upstream belongs to which line at the entry node.
+//! Matches the two log lines on an attempt: that of the entry node, which sent it, and that of the executing
+//! node, which ran it on its local upstream.
 
 use crate::{
     log_reading::{
@@ -12,33 +13,36 @@
     net::SocketAddr,
 };
 
-/// Place of a line: its run, and its position there.
+/// Position of a line in a list of incarnations.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LinePosition {
-    /// Position of the run.
-    pub run: usize,
-    /// Position in the run.
+    /// Index of the incarnation.
+    pub incarnation: usize,
+    /// Index of the line within the incarnation.
     pub line: usize,
 }
 
-/// An attempt as both nodes saw it. Spans are in milliseconds on the clock of each run.
+/// An attempt that both nodes logged. Start and end are in milliseconds since the start of the process that
+/// wrote the line.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct MatchedAttempt {
-    /// The line of the entry node.
+    /// Line of the entry node.
     pub returned: LinePosition,
-    /// The line of the node beside the upstream.
+    /// Line of the executing node.
     pub executed: LinePosition,
-    /// When the entry node sent it and had its answer.
-    pub asked: (f64, f64),
-    /// When the other node got it and answered.
-    pub served: (f64, f64),
+    /// When the entry node sent the attempt and when it received the answer.
+    pub sent_span: (f64, f64),
+    /// When the executing node received the attempt and when it answered.
+    pub served_span: (f64, f64),
 }
 
-/// Addresses where nodes take messages from nodes, as their lines tell.
+/// Collects the addresses at which nodes accept messages from other nodes, with the name of each node.
 #[must_use]
-pub fn find_addresses(runs: &[NodeIncarnation]) -> HashMap<SocketAddr, NodeName> {
+pub fn find_addresses(incarnations: &[NodeIncarnation]) -> HashMap<SocketAddr, NodeName> {
     let mut addresses = HashMap::new();
-    let lines = runs.iter().flat_map(|run| &run.lines);
+    let lines = incarnations
+        .iter()
+        .flat_map(|incarnation| &incarnation.lines);
     for line in lines {
         let node = match line.number {
             event_numbers::NODE_STARTED => line.node.clone(),
@@ -52,98 +56,110 @@
     addresses
 }
 
-/// Key of an attempt: request, entry node, node beside the upstream.
+/// Identifies the attempts of a request at a node: request id, address of the entry node, address of the
+/// executing node.
 type AttemptKey<'a> = (&'a str, SocketAddr, SocketAddr);
 
-/// Finds the attempts that both nodes tell of.
+/// Finds the attempts that both nodes logged.
 ///
-/// A request may be sent to one node more than once. Such attempts follow each other, so they are matched
-/// in their order, and only if both sides tell of equally many.
+/// A request may be sent to one node more than once. Such attempts follow each other, so they are matched in
+/// order, and only if both nodes logged equally many.
 #[must_use]
-pub fn match_attempts(runs: &[NodeIncarnation]) -> Vec<MatchedAttempt> {
-    let addresses = find_addresses(runs);
-    let own: HashMap<&NodeName, SocketAddr> =
+pub fn match_attempts(incarnations: &[NodeIncarnation]) -> Vec<MatchedAttempt> {
+    let addresses = find_addresses(incarnations);
+    let address_of_node: HashMap<&NodeName, SocketAddr> =
         addresses.iter().map(|(at, node)| (node, *at)).collect();
-    let mut asked: BTreeMap<AttemptKey<'_>, Vec<LinePosition>> = BTreeMap::new();
+    let mut sent: BTreeMap<AttemptKey<'_>, Vec<LinePosition>> = BTreeMap::new();
     let mut served: BTreeMap<AttemptKey<'_>, Vec<LinePosition>> = BTreeMap::new();
-    for (run, lines) in runs.iter().enumerate() {
-        let Some(here) = own.get(&lines.node).copied() else {
+    for (incarnation, process) in incarnations.iter().enumerate() {
+        let Some(own_address) = address_of_node.get(&process.node).copied() else {
             continue;
         };
-        for (line, text) in lines.lines.iter().enumerate() {
-            let Some(request) = text.request() else {
+        for (line, log_line) in process.lines.iter().enumerate() {
+            let Some(request) = log_line.request() else {
                 continue;
             };
-            if is_cut_short(text) {
+            if is_abandoned(log_line) {
                 continue;
             }
-            let place = LinePosition { run, line };
-            match text.number {
+            let position = LinePosition { incarnation, line };
+            match log_line.number {
                 event_numbers::ATTEMPT_RETURNED => {
-                    if let Some(to) = text.address("to") {
-                        asked.entry((request, here, to)).or_default().push(place);
+                    if let Some(to) = log_line.address("to") {
+                        sent.entry((request, own_address, to))
+                            .or_default()
+                            .push(position);
                     }
                 }
                 event_numbers::ATTEMPT_EXECUTED => {
-                    if let Some(from) = text.address("from") {
-                        served.entry((request, from, here)).or_default().push(place);
+                    if let Some(from) = log_line.address("from") {
+                        served
+                            .entry((request, from, own_address))
+                            .or_default()
+                            .push(position);
                     }
                 }
                 _ => {}
             }
         }
     }
-    let pairs = asked.into_iter().filter_map(|(key, mut asked)| {
+    let pairs = sent.into_iter().filter_map(|(key, mut sent)| {
         let served = served
             .get(&key)
-            .filter(|served| served.len() == asked.len())?;
-        asked.sort_by_key(|place| get_line(runs, *place).number("sent_ms"));
-        Some(asked.into_iter().zip(served.clone()))
+            .filter(|served| served.len() == sent.len())?;
+        sent.sort_by_key(|position| get_line(incarnations, *position).number("sent_ms"));
+        Some(sent.into_iter().zip(served.clone()))
     });
     pairs
         .flatten()
-        .filter_map(|(returned, executed)| measure(runs, returned, executed))
+        .filter_map(|(returned, executed)| measure_attempt(incarnations, returned, executed))
         .collect()
 }
 
-/// Whether an attempt was given up at the entry node. That node's line ends before the other one's, which says
-/// nothing of their clocks.
-fn is_cut_short(line: &LogLine) -> bool {
+/// Whether the entry node gave the attempt up. Its line then records an end before that of the executing node,
+/// which says nothing about the difference between their clocks.
+fn is_abandoned(line: &LogLine) -> bool {
     let end = line.end();
     end == EndField::ABANDONED || end == EndField::CLIENT_LEFT
 }
 
-/// The line at a place.
+/// Returns the line at a position.
+///
+/// # Panics
+/// If the position is not within `incarnations`.
 #[must_use]
-pub fn get_line(runs: &[NodeIncarnation], place: LinePosition) -> &LogLine {
-    &runs[place.run].lines[place.line]
+pub fn get_line(incarnations: &[NodeIncarnation], position: LinePosition) -> &LogLine {
+    &incarnations[position.incarnation].lines[position.line]
 }
 
-/// An attempt's line is written when its request has ended; the line of that tells when it came.
-fn measure(
-    runs: &[NodeIncarnation],
+/// Computes when each node started and finished the attempt.
+///
+/// The entry node writes the lines on attempts only when their request has ended. The line on that end, which
+/// follows, gives the time at which the request arrived.
+fn measure_attempt(
+    incarnations: &[NodeIncarnation],
     returned: LinePosition,
     executed: LinePosition,
 ) -> Option<MatchedAttempt> {
-    let line = get_line(runs, returned);
-    let later = runs[returned.run].lines[returned.line..].iter();
+    let line = get_line(incarnations, returned);
+    let later = incarnations[returned.incarnation].lines[returned.line..].iter();
     let mut ends = later.filter(|other| {
         other.number == event_numbers::REQUEST_ENDED && other.request() == line.request()
     });
     let end = ends.next()?;
-    let came = as_float(end.up_ms) - as_float(end.number("took_ms"));
-    let sent = came + as_float(line.number("sent_ms"));
-    let other = get_line(runs, executed);
+    let arrived = as_float(end.up_ms) - as_float(end.number("took_ms"));
+    let sent = arrived + as_float(line.number("sent_ms"));
+    let other = get_line(incarnations, executed);
     let answered = as_float(other.up_ms);
     Some(MatchedAttempt {
         returned,
         executed,
-        asked: (sent, sent + as_float(line.number("took_ms"))),
-        served: (answered - as_float(other.number("took_ms")), answered),
+        sent_span: (sent, sent + as_float(line.number("took_ms"))),
+        served_span: (answered - as_float(other.number("took_ms")), answered),
     })
 }
 
-/// Milliseconds of a run stay far below what a float holds exactly.
+/// Converts milliseconds, which stay far below the limit up to which a float is exact.
 #[expect(clippy::cast_precision_loss, reason = "far below 2^52")]
 pub(super) const fn as_float(millis: u64) -> f64 {
     millis as f64
--- a/src/log_reading/misses.rs
+++ b/src/log_reading/misses.rs
@@ -77,9 +77,13 @@
 
 /// Breaks the requests of all runs down.
 #[must_use]
-pub fn report_misses(runs: &[NodeIncarnation], window: Duration, sampling: Sampling) -> MissReport {
-    let ordered = order_lines(runs);
-    let names = NodeNames::collect(runs);
+pub fn report_misses(
+    incarnations: &[NodeIncarnation],
+    window: Duration,
+    sampling: Sampling,
+) -> MissReport {
+    let ordered = order_lines(incarnations);
+    let names = NodeNames::collect(incarnations);
     let requests = collect_requests(&ordered, &names);
     let mut all = WindowCounts::default();
     let mut windows: BTreeMap<u64, WindowCounts> = BTreeMap::new();
@@ -109,7 +113,10 @@
         sampling,
         without_end: requests.without_end,
         dropped_lines: all.dropped,
-        missing_lines: runs.iter().map(count_gaps).fold(0, u64::saturating_add),
+        missing_lines: incarnations
+            .iter()
+            .map(count_gaps)
+            .fold(0, u64::saturating_add),
         total: all.total.close(sampling),
         classes: close_classes(all.classes, sampling),
         windows,
@@ -158,8 +165,8 @@
 }
 
 /// Lines that lie between two lines of a run by their numbers.
-fn count_gaps(run: &NodeIncarnation) -> u64 {
-    let pairs = run.lines.windows(2);
+fn count_gaps(incarnation: &NodeIncarnation) -> u64 {
+    let pairs = incarnation.lines.windows(2);
     let gap = |one: &LogLine, next: &LogLine| next.seq.saturating_sub(one.seq).saturating_sub(1);
     pairs
         .map(|pair| gap(&pair[0], &pair[1]))
--- a/src/log_reading/misses/kind.rs
+++ b/src/log_reading/misses/kind.rs
@@ -65,7 +65,7 @@
         names: &NodeNames,
         call_ms: Option<u64>,
     ) -> Self {
-        match RequestOutcome::judge(end) {
+        match RequestOutcome::classify(end) {
             RequestOutcome::OnTime => Self::OnTime,
             RequestOutcome::Late => Self::Late(LateCause::find(lines, names, call_ms)),
             RequestOutcome::Refused(reason) => Self::Refused {
--- a/src/log_reading/order.rs
+++ b/src/log_reading/order.rs
@@ -1,4 +1,4 @@
-//! All lines in one order in which causes stand before their effects.
+//! Merges the lines of all incarnations into one causal order: a cause comes before its effect.
 
 use crate::log_reading::{
     clocks::align_clocks,
@@ -8,58 +8,61 @@
 };
 use std::collections::HashMap;
 
-/// A line with its time on the common clock.
+/// A log line with its time on the common clock.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TimedLine {
-    /// Milliseconds since the Unix epoch, as well as the clocks allow.
+    /// Estimated time in milliseconds since the Unix epoch.
     pub at_ms: f64,
-    /// The line.
+    /// The log line.
     pub line: LogLine,
 }
 
-/// Puts the lines of all runs in causal order: those of one run as written, and an attempt's line at the
-/// node beside the upstream before the one at the entry node. Else the common clock decides.
+/// Sorts the lines of all incarnations causally. Lines of one incarnation stay in the order in which they were
+/// written, and the executing node's line on an attempt precedes that of the entry node. Otherwise the common
+/// clock decides.
 #[must_use]
-pub fn order_lines(runs: &[NodeIncarnation]) -> Vec<TimedLine> {
-    let attempts = match_attempts(runs);
-    let begins = align_clocks(runs, &attempts);
+pub fn order_lines(incarnations: &[NodeIncarnation]) -> Vec<TimedLine> {
+    let attempts = match_attempts(incarnations);
+    let starts = align_clocks(incarnations, &attempts);
     let causes: HashMap<LinePosition, LinePosition> = attempts
         .iter()
         .map(|attempt| (attempt.returned, attempt.executed))
         .collect();
-    let mut next = vec![0; runs.len()];
+    let mut next_lines = vec![0; incarnations.len()];
     let mut ordered = Vec::new();
-    while let Some(run) = pick_run(runs, &begins, &next, &causes) {
-        let place = LinePosition {
-            run,
-            line: next[run],
+    while let Some(incarnation) = pick_incarnation(incarnations, &starts, &next_lines, &causes) {
+        let position = LinePosition {
+            incarnation,
+            line: next_lines[incarnation],
         };
-        next[run] += 1;
-        let line = get_line(runs, place).clone();
+        next_lines[incarnation] += 1;
+        let line = get_line(incarnations, position).clone();
         ordered.push(TimedLine {
-            at_ms: begins[run] + as_float(line.up_ms),
+            at_ms: starts[incarnation] + as_float(line.up_ms),
             line,
         });
     }
     ordered
 }
 
-/// The run whose next line comes first. A line that waits for its cause goes only if all others wait too,
-/// which lines that contradict each other would lead to.
-fn pick_run(
-    runs: &[NodeIncarnation],
-    begins: &[f64],
-    next: &[usize],
+/// Picks the incarnation whose next line comes first. A line whose cause has not been output yet is picked only
+/// if that holds for all incarnations, which happens when lines contradict each other.
+fn pick_incarnation(
+    incarnations: &[NodeIncarnation],
+    starts: &[f64],
+    next_lines: &[usize],
     causes: &HashMap<LinePosition, LinePosition>,
 ) -> Option<usize> {
-    let heads = (0..runs.len()).filter(|run| next[*run] < runs[*run].lines.len());
-    heads.min_by(|one, other| {
-        let rank = |run: usize| {
-            let line = next[run];
-            let cause = causes.get(&LinePosition { run, line });
-            let waits =
-                cause.is_some_and(|cause| cause.run != run && next[cause.run] <= cause.line);
-            let at = begins[run] + as_float(runs[run].lines[line].up_ms);
+    let candidates = (0..incarnations.len())
+        .filter(|incarnation| next_lines[*incarnation] < incarnations[*incarnation].lines.len());
+    candidates.min_by(|one, other| {
+        let rank = |incarnation: usize| {
+            let line = next_lines[incarnation];
+            let cause = causes.get(&LinePosition { incarnation, line });
+            let waits = cause.is_some_and(|cause| {
+                cause.incarnation != incarnation && next_lines[cause.incarnation] <= cause.line
+            });
+            let at = starts[incarnation] + as_float(incarnations[incarnation].lines[line].up_ms);
             (waits, at)
         };
         let ((one_waits, one_at), (other_waits, other_at)) = (rank(*one), rank(*other));
--- a/src/log_reading/outcome.rs
+++ b/src/log_reading/outcome.rs
@@ -1,38 +1,40 @@
-//! How a request ended, as its client sees it.
+//! Classifies how a request ended for its client.
 
 use crate::log_reading::line::{EndField, LogLine};
 
-/// Least status by which an upstream says that it failed.
-const LEAST_FAILURE: u64 = 500;
+/// Lowest HTTP status that reports a failure of the upstream.
+const MIN_FAILURE_STATUS: u64 = 500;
 
 /// How a request ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestOutcome<'a> {
-    /// Answered within its target.
+    /// Answered within the latency target.
     OnTime,
-    /// Answered after its target.
+    /// Answered after the latency target.
     Late,
-    /// The upstream itself answered with a status of a failure.
+    /// The upstream answered with this status, which reports a failure.
     UpstreamFailed(u64),
-    /// Not run, for a reason.
+    /// Not executed, for this reason.
     Refused(&'a str),
-    /// It can't be told whether it ran, for a cause.
+    /// Unknown whether it was executed, for this cause.
     Unknown(&'a str),
-    /// The configuration has no route for it.
+    /// The configuration has no route for the request.
     NoRoute,
-    /// Its client went away before its end.
+    /// The client disconnected before the request ended.
     ClientLeft,
-    /// The line doesn't tell; empty if it has no end or no times at all.
+    /// Any other word in the field `end`; empty if that field, or the times of an answered request, are missing.
     Other(&'a str),
 }
 
 impl<'a> RequestOutcome<'a> {
-    /// Judges the line on the end of a request.
+    /// Classifies the line on the end of a request.
     #[must_use]
-    pub fn judge(end: &'a LogLine) -> Self {
+    pub fn classify(end: &'a LogLine) -> Self {
         match end.end() {
-            EndField::Answered(status) if status >= LEAST_FAILURE => Self::UpstreamFailed(status),
-            EndField::Answered(_) => judge_answer(end),
+            EndField::Answered(status) if status >= MIN_FAILURE_STATUS => {
+                Self::UpstreamFailed(status)
+            }
+            EndField::Answered(_) => classify_answer(end),
             EndField::Refused(reason) => Self::Refused(reason),
             EndField::Unknown(cause) => Self::Unknown(cause),
             EndField::CLIENT_LEFT => Self::ClientLeft,
@@ -42,8 +44,9 @@
     }
 }
 
-/// Without both times nothing is known of an answer: taken for 0 they would make it one on time.
-fn judge_answer(end: &LogLine) -> RequestOutcome<'_> {
+/// Compares the duration with the target. If either is missing, the outcome is not known; a default of 0 would
+/// count the request as on time.
+fn classify_answer(end: &LogLine) -> RequestOutcome<'_> {
     match (end.find_number("took_ms"), end.find_number("target_ms")) {
         (Some(took), Some(target)) if took > target => RequestOutcome::Late,
         (Some(_), Some(_)) => RequestOutcome::OnTime,
--- a/src/log_reading/request_trace.rs
+++ b/src/log_reading/request_trace.rs
@@ -67,9 +67,9 @@
 
 /// Tells the story of a request.
 #[must_use]
-pub fn trace_request(runs: &[NodeIncarnation], request: &str) -> RequestTrace {
-    let names = NodeNames::collect(runs);
-    let ordered = order_lines(runs);
+pub fn trace_request(incarnations: &[NodeIncarnation], request: &str) -> RequestTrace {
+    let names = NodeNames::collect(incarnations);
+    let ordered = order_lines(incarnations);
     let own: Vec<&TimedLine> = ordered
         .iter()
         .filter(|timed| timed.line.request() == Some(request))
--- a/src/log_reading/summary.rs
+++ b/src/log_reading/summary.rs
@@ -56,13 +56,13 @@
 
 /// Sums up lines in their order.
 #[must_use]
-pub fn summarize_lines(runs: &[NodeIncarnation], ordered: &[TimedLine]) -> LogSummary {
+pub fn summarize_lines(incarnations: &[NodeIncarnation], ordered: &[TimedLine]) -> LogSummary {
     let mut summary = LogSummary {
         lines: ordered.len(),
         ..LogSummary::default()
     };
-    for run in runs {
-        *summary.nodes.entry(run.node.clone()).or_default() += 1;
+    for incarnation in incarnations {
+        *summary.nodes.entry(incarnation.node.clone()).or_default() += 1;
     }
     if let (Some(first), Some(last)) = (ordered.first(), ordered.last()) {
         summary.seconds = (last.at_ms - first.at_ms) / 1_000.0;
@@ -115,10 +115,10 @@
 
 impl fmt::Display for LogSummary {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let runs: usize = self.nodes.values().sum();
+        let incarnations: usize = self.nodes.values().sum();
         writeln!(
             f,
-            "{} lines of {} nodes ({runs} runs) over {:.1} s; {} more were left out by their nodes",
+            "{} lines of {} nodes ({incarnations} runs) over {:.1} s; {} more were left out by their nodes",
             self.lines,
             self.nodes.len(),
             self.seconds,
--- a/tests/integration/log_causes.rs
+++ b/tests/integration/log_causes.rs
@@ -41,7 +41,7 @@
     ];
     all.extend_from_slice(lines);
     trace_request(
-        &split_incarnations(all.iter().map(String::as_str)).runs,
+        &split_incarnations(all.iter().map(String::as_str)).incarnations,
         "r1",
     )
 }
--- a/tests/integration/log_reading.rs
+++ b/tests/integration/log_reading.rs
@@ -62,7 +62,7 @@
 }
 
 fn read(lines: &[String]) -> Vec<NodeIncarnation> {
-    split_incarnations(lines.iter().map(String::as_str)).runs
+    split_incarnations(lines.iter().map(String::as_str)).incarnations
 }
 
 fn event_numbers(ordered: &[TimedLine]) -> Vec<(u16, &str)> {
@@ -90,18 +90,18 @@
         started("n1", (900, 0), "10.0.0.1:1"),
     ];
     let read = split_incarnations(lines.iter().map(String::as_str));
-    assert_eq!(read.runs.len(), 2);
-    assert_eq!(read.other_lines, 1);
+    assert_eq!(read.incarnations.len(), 2);
+    assert_eq!(read.unrecognized_lines, 1);
 }
 
 #[test]
 fn match_attempts_of_both_nodes() {
-    let runs = read(&exchange(0));
-    let attempts = match_attempts(&runs);
+    let incarnations = read(&exchange(0));
+    let attempts = match_attempts(&incarnations);
     assert_eq!(attempts.len(), 1);
     let attempt = attempts[0];
-    assert!((attempt.asked.0 - 51.0).abs() < 0.1, "{attempt:?}");
-    assert!((attempt.served.1 - 95.0).abs() < 0.1, "{attempt:?}");
+    assert!((attempt.sent_span.0 - 51.0).abs() < 0.1, "{attempt:?}");
+    assert!((attempt.served_span.1 - 95.0).abs() < 0.1, "{attempt:?}");
 }
 
 /// Symptom: an answer stands before its question. Sequence: the clock of one VM is 40 s ahead. Cause: lines
@@ -109,14 +109,14 @@
 #[test]
 fn order_clocks_that_differ() {
     for shift in [0, 40_000] {
-        let runs = read(&exchange(shift));
-        let ordered = order_lines(&runs);
+        let incarnations = read(&exchange(shift));
+        let ordered = order_lines(&incarnations);
         let order = event_numbers(&ordered);
         let place = |wanted| order.iter().position(|(number, _)| *number == wanted);
         assert!(place(803) < place(802), "{order:?}");
         assert!(place(802) < place(801), "{order:?}");
-        let begins = align_clocks(&runs, &match_attempts(&runs));
-        assert!((begins[0] - begins[1]).abs() < 15.0, "{begins:?}");
+        let starts = align_clocks(&incarnations, &match_attempts(&incarnations));
+        assert!((starts[0] - starts[1]).abs() < 15.0, "{starts:?}");
     }
 }
 
@@ -161,8 +161,8 @@
                     line(&format!("n{node}"), at, *seq, event, &members)
                 })
                 .collect();
-            let runs = read(&lines);
-            let ordered = order_lines(&runs);
+            let incarnations = read(&lines);
+            let ordered = order_lines(&incarnations);
             assert_eq!(ordered.len(), lines.len());
             let mut last: BTreeMap<String, u64> = BTreeMap::new();
             for timed in &ordered {
@@ -177,7 +177,9 @@
     check!().for_each(|bytes: &[u8]| {
         let text = String::from_utf8_lossy(bytes);
         let read = split_incarnations(text.lines());
-        assert!(order_lines(&read.runs).len() + read.other_lines <= text.lines().count());
+        assert!(
+            order_lines(&read.incarnations).len() + read.unrecognized_lines <= text.lines().count()
+        );
     });
 }
 
@@ -193,8 +195,8 @@
          \"end\":{\"refused\":\"queue_full\"}",
     ));
     lines.push(line("n1", (1_300, 300), 5, 805, "\"lines\":12"));
-    let runs = read(&lines);
-    let summary = summarize_lines(&runs, &order_lines(&runs));
+    let incarnations = read(&lines);
+    let summary = summarize_lines(&incarnations, &order_lines(&incarnations));
     assert_eq!(summary.ends.get("answered 200"), Some(&1));
     assert_eq!(summary.ends.get("refused: queue full"), Some(&1));
     assert_eq!(summary.dropped, 12);
--- a/tests/integration/misses.rs
+++ b/tests/integration/misses.rs
@@ -65,7 +65,7 @@
 
     fn report(&self) -> MissReport {
         let texts = self.all.iter().map(String::as_str);
-        report_misses(&split_incarnations(texts).runs, WINDOW, SAMPLING)
+        report_misses(&split_incarnations(texts).incarnations, WINDOW, SAMPLING)
     }
 }
 
@@ -240,8 +240,8 @@
         ordinary_one_in: 1,
         late_one_in: 1,
     };
-    let runs = split_incarnations(lines.all.iter().map(String::as_str)).runs;
-    let total = report_misses(&runs, WINDOW, all).total;
+    let incarnations = split_incarnations(lines.all.iter().map(String::as_str)).incarnations;
+    let total = report_misses(&incarnations, WINDOW, all).total;
     assert_eq!(total.on_time_share_range, Some((0.5, 0.5)));
 }
 
