--- a/soak/src/link.rs
+++ b/soak/src/link.rs
@@ -29,7 +29,7 @@
 pub enum LinkCondition {
     /// Forwards them.
     #[default]
-    Well,
+    Healthy,
     /// Forwards each piece after a pause.
     Slow(Duration),
     /// Forwards questions; answers don't come.
@@ -165,7 +165,7 @@
             LinkCondition::Slow(pause) => return sleep(pause).await,
             // What is lost stays lost: its connection never gets further.
             LinkCondition::AnswersLost if direction == Direction::Answer => pending().await,
-            LinkCondition::Well | LinkCondition::AnswersLost => return,
+            LinkCondition::Healthy | LinkCondition::AnswersLost => return,
             LinkCondition::Silent => changed.await,
         }
     }
--- a/soak/src/machine.rs
+++ b/soak/src/machine.rs
@@ -249,7 +249,7 @@
     /// Makes a link ill, or well again with none.
     pub fn set_link(link: &Link, ill: Option<IllLink>) {
         match ill {
-            None => link.set_condition(LinkCondition::Well),
+            None => link.set_condition(LinkCondition::Healthy),
             Some(IllLink::Reset) => link.reset(),
             Some(IllLink::Slow) => link.set_condition(LinkCondition::Slow(SLOW)),
             Some(IllLink::AnswersLost) => link.set_condition(LinkCondition::AnswersLost),
--- a/soak/src/play.rs
+++ b/soak/src/play.rs
@@ -106,7 +106,7 @@
         // One that panicked has told so itself.
         let _ = fault.await;
     }
-    world.store.set_condition(StoreCondition::Well);
+    world.store.set_condition(StoreCondition::Healthy);
     for machine in &world.machines {
         machine.signal(Signal::SIGCONT);
         Machine::set_link(&machine.store_link, None);
@@ -143,11 +143,11 @@
         Fault::Store(condition) => {
             world.store.set_condition(condition);
             sleep(lasts).await;
-            world.store.set_condition(StoreCondition::Well);
+            world.store.set_condition(StoreCondition::Healthy);
             world.note_hindrance(None, from);
         }
         Fault::StoreReturns(away) => return_store(&world, away, lasts).await,
-        Fault::StoreForgets => world.store.forget_history(),
+        Fault::StoreForgets => world.store.compact_history(),
         Fault::StoreLink { node, ill } => {
             harm(&machine(node).store_link, ill, lasts).await;
             world.note_hindrance(Some(node), from);
@@ -159,10 +159,10 @@
             world.history.borrow_mut().held_up.push(held_up);
         }
         Fault::Evacuate(zone) => {
-            if world.store.condition() == StoreCondition::Well {
+            if world.store.condition() == StoreCondition::Healthy {
                 world.evacuate(zone);
                 sleep(lasts).await;
-                while world.store.condition() != StoreCondition::Well {
+                while world.store.condition() != StoreCondition::Healthy {
                     sleep(LOOK_PAUSE).await;
                 }
                 world.take_back(zone);
@@ -224,23 +224,23 @@
 
 /// Has the store come back from a copy that is as old as `age`, unless another fault of the store is under way.
 async fn return_store(world: &World, away: StoreCondition, age: Duration) {
-    let copy = world.store.copy();
+    let copy = world.store.take_snapshot();
     sleep(age).await;
-    if world.store.condition() != StoreCondition::Well {
+    if world.store.condition() != StoreCondition::Healthy {
         return;
     }
     let from = Instant::now();
     world.store.set_condition(away);
     sleep(STORE_AWAY).await;
-    let lost = world.store.return_from(copy);
+    let lost = world.store.restore_snapshot(copy);
     world.write_again(&lost);
-    world.store.set_condition(StoreCondition::Well);
+    world.store.set_condition(StoreCondition::Healthy);
     world.note_hindrance(None, from);
 }
 
 /// Operators' writes fail while the store is ill.
 fn publish(world: &World, routes: usize) {
-    if world.store.condition() == StoreCondition::Well {
+    if world.store.condition() == StoreCondition::Healthy {
         world.publish(routes);
     }
 }
--- a/soak/src/world.rs
+++ b/soak/src/world.rs
@@ -160,7 +160,7 @@
         }
         drop(history);
         let key = format!("{EVACUATION_KEY}{}", ZONES[zone]);
-        self.store.drop_key(CONFIGURATION_TOPIC, &key);
+        self.store.delete_key(CONFIGURATION_TOPIC, &key);
     }
 
     /// Puts foreign bytes in a place of the store, or into a heartbeat.
@@ -175,7 +175,7 @@
             ForeignPlace::Heartbeat => return send_foreign(machine, how).await,
         };
         let proper = if topic == NODES_TOPIC {
-            self.store.newest(topic, &own).unwrap_or_default()
+            self.store.newest_value(topic, &own).unwrap_or_default()
         } else {
             self.configurations.borrow().describe()
         };
--- a/stand-ins/src/store.rs
+++ b/stand-ins/src/store.rs
@@ -30,7 +30,7 @@
 pub enum StoreCondition {
     /// It answers.
     #[default]
-    Well,
+    Healthy,
     /// It answers 503 and does nothing.
     Busy,
     /// It closes connections without an answer, having done nothing.
@@ -52,7 +52,7 @@
 }
 
 /// The records of a store at one moment.
-pub struct StoreCopy(HashMap<String, Vec<Record>>);
+pub struct StoreSnapshot(HashMap<String, Vec<Record>>);
 
 /// A record that a store lost when it came back from a copy.
 #[derive(Clone, Debug)]
@@ -112,7 +112,7 @@
     }
 
     /// Turns the clients at these addresses away with 503 from now on, and no others.
-    pub fn refuse(&self, clients: &[IpAddr]) {
+    pub fn refuse_clients(&self, clients: &[IpAddr]) {
         *self.state.refused.borrow_mut() = clients.to_vec();
     }
 
@@ -133,12 +133,12 @@
     }
 
     /// Drops a key, as the operator does.
-    pub fn drop_key(&self, topic: &str, key: &str) {
+    pub fn delete_key(&self, topic: &str, key: &str) {
         self.put_bytes(topic, key, &[]);
     }
 
     /// Deletes the records that were appended so far; the newest of each key stays.
-    pub fn forget_history(&self) {
+    pub fn compact_history(&self) {
         let topics = self.state.topics.borrow();
         let longest = topics.values().map(Vec::len).max().unwrap_or(0);
         self.state.first.set(longest);
@@ -146,13 +146,13 @@
 
     /// Copies all records.
     #[must_use]
-    pub fn copy(&self) -> StoreCopy {
-        StoreCopy(self.state.topics.borrow().clone())
+    pub fn take_snapshot(&self) -> StoreSnapshot {
+        StoreSnapshot(self.state.topics.borrow().clone())
     }
 
     /// Comes back from a copy: what was appended since is lost, its offsets are given out again, and calls under way end without an
     /// answer. Returns what was lost, by topic in the order of the log.
-    pub fn return_from(&self, copy: StoreCopy) -> Vec<LostRecord> {
+    pub fn restore_snapshot(&self, copy: StoreSnapshot) -> Vec<LostRecord> {
         let before = self.state.topics.replace(copy.0);
         self.state.era.update(|era| era + 1);
         self.state.returned.notify_waiters();
@@ -171,7 +171,7 @@
 
     /// The newest value of a key; empty if the key was dropped.
     #[must_use]
-    pub fn newest(&self, topic: &str, key: &str) -> Option<String> {
+    pub fn newest_value(&self, topic: &str, key: &str) -> Option<String> {
         let topics = self.state.topics.borrow();
         let record = topics
             .get(topic)?
@@ -182,13 +182,13 @@
 
     /// Calls taken so far.
     #[must_use]
-    pub fn calls(&self) -> u32 {
+    pub fn call_count(&self) -> u32 {
         self.state.calls.get()
     }
 
     /// Calls of one path about one topic, taken so far.
     #[must_use]
-    pub fn calls_of(&self, path: &str, topic: &str) -> u32 {
+    pub fn count_calls(&self, path: &str, topic: &str) -> u32 {
         let key = (path.to_owned(), topic.to_owned());
         let calls = self.state.calls_by_kind.borrow();
         calls.get(&key).copied().unwrap_or(0)
@@ -225,7 +225,7 @@
         let is_refused = state.refused.borrow().contains(&client);
         let answer = match state.condition.get() {
             _ if is_refused => build_answer(503, &[], b"refused"),
-            StoreCondition::Well => {
+            StoreCondition::Healthy => {
                 let returned = state.returned.notified();
                 tokio::select! {
                     answer = answer(&request, &state) => answer,
