--- a/src/coordination/retry_budget.rs
+++ b/src/coordination/retry_budget.rs
@@ -12,7 +12,7 @@
 
 /// Limits on retries, set by the operators.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct RetryBudgetRules {
+pub struct RetryBudgetSettings {
     /// Allowed retries as a share of the requests within the window.
     pub ratio: f64,
     /// Number of retries allowed within the window beyond that share, for all nodes together.
@@ -25,7 +25,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBudgetShare {
     /// Limits for all nodes together.
-    pub rules: RetryBudgetRules,
+    pub settings: RetryBudgetSettings,
     /// Number of nodes that share the slack.
     pub nodes: usize,
     /// Time since the node process started. It is unknown what an earlier process of the node has spent, so the node's part of the
@@ -35,9 +35,9 @@
 
 impl RetryBudgetShare {
     fn slack(&self) -> f64 {
-        let window = self.rules.window.as_secs_f64().max(f64::MIN_POSITIVE);
+        let window = self.settings.window.as_secs_f64().max(f64::MIN_POSITIVE);
         let known_share = (self.uptime.as_secs_f64() / window).min(1.0);
-        self.rules.slack / to_float(self.nodes.max(1)) * known_share
+        self.settings.slack / to_float(self.nodes.max(1)) * known_share
     }
 }
 
@@ -61,15 +61,15 @@
 
 impl RetryBudget {
     /// Counts a request, which raises the number of allowed retries.
-    pub fn count_request(&mut self, now: Timestamp, rules: RetryBudgetRules) {
+    pub fn count_request(&mut self, now: Timestamp, settings: RetryBudgetSettings) {
         self.requests.push_back(now);
-        self.drop_expired(now, rules);
+        self.drop_expired(now, settings);
     }
 
     /// Whether `amount` retries are within the budget now. The amount is fractional if it is an estimated number of calls.
     pub fn can_spend(&mut self, now: Timestamp, share: RetryBudgetShare, amount: f64) -> bool {
-        self.drop_expired(now, share.rules);
-        let earned = share.rules.ratio * to_float(self.requests.len());
+        self.drop_expired(now, share.settings);
+        let earned = share.settings.ratio * to_float(self.requests.len());
         let allowed = (earned + share.slack()) * USED_SHARE;
         let spent: f64 = self.retries.iter().map(|spent| spent.amount).sum();
         spent + amount <= allowed
@@ -95,8 +95,8 @@
         }
     }
 
-    fn drop_expired(&mut self, now: Timestamp, rules: RetryBudgetRules) {
-        let is_expired = |at: Timestamp| now.since(at) > rules.window;
+    fn drop_expired(&mut self, now: Timestamp, settings: RetryBudgetSettings) {
+        let is_expired = |at: Timestamp| now.since(at) > settings.window;
         while self.requests.front().is_some_and(|at| is_expired(*at)) {
             self.requests.pop_front();
         }
--- a/src/coordination/slow_start.rs
+++ b/src/coordination/slow_start.rs
@@ -19,14 +19,14 @@
 /// Factor and slack that turn the request rate that a service tolerates while cold into the limit for any second, set by the
 /// operators.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct SlowStartRules {
+pub struct SlowStartSettings {
     /// Factor applied to the tolerated rate.
     pub overage: f64,
     /// Number of requests added to the product.
     pub slack: f64,
 }
 
-impl Default for SlowStartRules {
+impl Default for SlowStartSettings {
     fn default() -> Self {
         Self {
             overage: 1.0,
@@ -35,7 +35,7 @@
     }
 }
 
-impl SlowStartRules {
+impl SlowStartSettings {
     /// Maximum number of requests within any second for a cold upstream that tolerates `requests_per_minute`; at least one.
     #[must_use]
     pub fn limit(&self, requests_per_minute: u32) -> usize {
--- a/src/local_mesh/node.rs
+++ b/src/local_mesh/node.rs
@@ -2,7 +2,8 @@
 
 use crate::{
     coordination::{
-        local_upstream::Announcement, retry_budget::RetryBudgetRules, slow_start::SlowStartRules,
+        local_upstream::Announcement, retry_budget::RetryBudgetSettings,
+        slow_start::SlowStartSettings,
     },
     local_mesh::{LOCAL_TOKEN, LocalMeshError, plan::NodePlan, store::LocalStore},
     options::proxy_settings::{
@@ -39,7 +40,7 @@
 /// Lines that a node keeps for operators' tools.
 const KEPT_LINES: usize = 5_000;
 /// Bounds on repeats as the users have them: a fifth of the requests, and 64 for all nodes together.
-const REPEATS: RetryBudgetRules = RetryBudgetRules {
+const REPEATS: RetryBudgetSettings = RetryBudgetSettings {
     ratio: 0.2,
     slack: 64.0,
     window: Duration::from_secs(10),
@@ -300,7 +301,7 @@
             probes_per_second: PROBES_PER_SECOND,
             grace: GRACE,
             configuration_apply: CONFIGURATION_APPLY,
-            slow_start: SlowStartRules::default(),
+            slow_start: SlowStartSettings::default(),
         },
         lines: LineRules {
             one_in: 1,
--- a/src/local_mesh/store.rs
+++ b/src/local_mesh/store.rs
@@ -3,7 +3,7 @@
 use crate::{
     protocol::store::{
         ConditionalAppend, KeyedRecord, PublicationStore, QUARANTINE_VALUE, RecordBatch,
-        StateStore, StoreError, StoreTopic, quarantine_key,
+        StateStore, StoreError, StoreTopic, build_quarantine_key,
     },
     state::{
         known_node::NodeRecord, names::AvailabilityZoneName, published::PublishedRecord,
@@ -182,7 +182,12 @@
     ) -> Result<(), StoreError> {
         let condition = self.check()?;
         let value = is_quarantined.then_some(QUARANTINE_VALUE);
-        let end = self.append_at(StoreTopic::Nodes, &quarantine_key(digest), value, None);
+        let end = self.append_at(
+            StoreTopic::Nodes,
+            &build_quarantine_key(digest),
+            value,
+            None,
+        );
         answer(condition, end).map(|_| ())
     }
 
--- a/src/options/proxy_settings.rs
+++ b/src/options/proxy_settings.rs
@@ -1,7 +1,7 @@
 //! What a node is told at its start.
 
 use crate::{
-    coordination::{retry_budget::RetryBudgetRules, slow_start::SlowStartRules},
+    coordination::{retry_budget::RetryBudgetSettings, slow_start::SlowStartSettings},
     state::names::{AvailabilityZoneName, NodeName, ServiceName},
 };
 use http::HeaderName;
@@ -79,7 +79,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct NodeBounds {
     /// Bounds on repeated requests.
-    pub repeats: RetryBudgetRules,
+    pub repeats: RetryBudgetSettings,
     /// Most questions a second to the upstream for its load.
     pub probes_per_second: f64,
     /// Time from the order to stop until the process is killed.
@@ -87,7 +87,7 @@
     /// Longest time from the acknowledgement of a configuration until it is in force at all nodes.
     pub configuration_apply: Duration,
     /// Bounds on what a cold upstream gets.
-    pub slow_start: SlowStartRules,
+    pub slow_start: SlowStartSettings,
 }
 
 /// Settings of one node.
--- a/src/protocol/store.rs
+++ b/src/protocol/store.rs
@@ -68,7 +68,7 @@
 /// The quarantine is not part of a node's record: a node that starts writes its own record again, perhaps before it
 /// has read the previous one, and a quarantine in that record would be lost.
 #[must_use]
-pub fn quarantine_key(fingerprint: RequestFingerprint) -> String {
+pub fn build_quarantine_key(fingerprint: RequestFingerprint) -> String {
     format!("{QUARANTINE_KEY_PREFIX}{fingerprint}")
 }
 
@@ -108,7 +108,7 @@
     /// The key under which a node's record is kept.
     fn get_node_key(&self, record: &NodeRecord) -> String;
 
-    /// Appends a record under [`quarantine_key`]: [`QUARANTINE_VALUE`] if the request is in quarantine, else one that
+    /// Appends a record under [`build_quarantine_key`]: [`QUARANTINE_VALUE`] if the request is in quarantine, else one that
     /// deletes the key.
     fn append_quarantine(
         &self,
--- a/src/proxy/entry/request_router.rs
+++ b/src/proxy/entry/request_router.rs
@@ -20,7 +20,7 @@
             request_attempts::RequestAttempts,
         },
         events::ProxyEvent,
-        retry_budgets::{count_request, return_retries, take_retry},
+        retry_budgets::{count_request, refund_retries, spend_retry},
     },
     state::{
         ablation::Mechanism,
@@ -172,7 +172,7 @@
         if !self.may_attempt_another() {
             return false;
         }
-        let granted = take_retry(&self.core, &self.call.service);
+        let granted = spend_retry(&self.core, &self.call.service);
         if granted {
             self.retries_paid = self.retries_paid.saturating_add(1);
             increment(&self.core.counters.retries);
@@ -271,7 +271,7 @@
         let unspent = self
             .retries_paid
             .saturating_sub(upstream_attempts.saturating_sub(1));
-        return_retries(&self.core, &self.call.service, unspent);
+        refund_retries(&self.core, &self.call.service, unspent);
     }
 }
 
--- a/src/proxy/executing.rs
+++ b/src/proxy/executing.rs
@@ -17,7 +17,7 @@
         core::{ProxyCore, increment},
         crash_detection::find_quarantine,
         graceful_stop::accepts_work,
-        retry_budgets::{has_call_budget, take_call_budget},
+        retry_budgets::{has_call_budget, spend_call_budget},
     },
     state::{request_fingerprint::RequestFingerprint, timestamp::Timestamp},
     transport::callers::CallerRequest,
@@ -98,7 +98,7 @@
     let Some(time_left) = hop.time_left.checked_sub(waited) else {
         return refuse(core, RefusalReason::DeadlinePassed, Duration::ZERO);
     };
-    if hop.is_retry && !take_call_budget(core, &hop.class) {
+    if hop.is_retry && !spend_call_budget(core, &hop.class) {
         return refuse(core, RefusalReason::RetryBudgetExhausted, Duration::ZERO);
     }
     increment(&core.counters.executed);
--- a/src/proxy/executing/dispatch.rs
+++ b/src/proxy/executing/dispatch.rs
@@ -66,7 +66,7 @@
         ),
         connect_timeout: CONNECT_TIMEOUT.min(time_left),
         idle_limit: IDLE_LIMIT,
-        body_limit: BODY_LIMIT,
+        max_body_bytes: BODY_LIMIT,
         answer_timeouts: None,
     };
     let started = core.timers.now();
--- a/src/proxy/executing/probes.rs
+++ b/src/proxy/executing/probes.rs
@@ -104,7 +104,7 @@
         // Longer than the whole probe, so that a failed connect always means a refused connection.
         connect_timeout: PROBE_TIMEOUT * 2,
         idle_limit: IDLE_LIMIT,
-        body_limit: BODY_LIMIT,
+        max_body_bytes: BODY_LIMIT,
         answer_timeouts: None,
     };
     let timeout = core.timers.after(PROBE_TIMEOUT);
--- a/src/proxy/executing/warmup.rs
+++ b/src/proxy/executing/warmup.rs
@@ -7,7 +7,7 @@
         events::{ProxyEvent, in_millis},
         executing::slowdown::probe_slowdown,
     },
-    state::{names::ServiceName, routing_table::WarmUpLimit},
+    state::{names::ServiceName, routing_table::WarmupLimit},
 };
 use http::HeaderMap;
 use std::{rc::Rc, time::Duration};
@@ -80,6 +80,6 @@
     probe_slowdown(core).await;
 }
 
-fn find_warmup_limit(core: &ProxyCore, service: &ServiceName) -> Option<WarmUpLimit> {
-    core.routes()?.find_service(service)?.warm_up
+fn find_warmup_limit(core: &ProxyCore, service: &ServiceName) -> Option<WarmupLimit> {
+    core.routes()?.find_service(service)?.warmup
 }
--- a/src/proxy/operator_requests.rs
+++ b/src/proxy/operator_requests.rs
@@ -52,14 +52,14 @@
             let _ = reply.send(describe_node(&core));
         }
         OperatorRequest::Health { reply } => {
-            let _ = reply.send(describe_condition(&core));
+            let _ = reply.send(describe_health(&core));
         }
         OperatorRequest::LogLines { from, reply } => {
             let _ = reply.send(list_log_lines(&core, from));
         }
         OperatorRequest::Drain { reply } => {
             drain(&core, &record_writes).await;
-            let _ = reply.send(describe_condition(&core));
+            let _ = reply.send(describe_health(&core));
         }
         OperatorRequest::Publish { request, reply } => {
             let outcome = publish(&core, &store, &request).await;
@@ -102,7 +102,7 @@
 
 /// Whether the node accepts requests, and the load of its upstream.
 #[must_use]
-pub fn describe_condition(core: &ProxyCore) -> NodeHealth {
+pub fn describe_health(core: &ProxyCore) -> NodeHealth {
     let load = core.slots.load();
     let own = core.local_upstream.borrow();
     NodeHealth {
--- a/src/proxy/peer_requests.rs
+++ b/src/proxy/peer_requests.rs
@@ -56,7 +56,7 @@
         ),
         connect_timeout: CONNECT_TIMEOUT,
         idle_limit: IDLE_LIMIT,
-        body_limit: BODY_LIMIT,
+        max_body_bytes: BODY_LIMIT,
         answer_timeouts: None,
     };
     let is_answer = |parts: &Parts| parts.headers.contains_key(HOP_HEADER);
--- a/src/proxy/retry_budgets.rs
+++ b/src/proxy/retry_budgets.rs
@@ -22,7 +22,7 @@
 }
 
 /// Takes one retry from the budget of a service; false if the budget is exhausted.
-pub fn take_retry(core: &ProxyCore, service: &ServiceName) -> bool {
+pub fn spend_retry(core: &ProxyCore, service: &ServiceName) -> bool {
     let share = compute_budget_share(core);
     let mut budgets = core.retry_budgets.borrow_mut();
     let budget = budgets.entry(service.clone()).or_default();
@@ -30,7 +30,7 @@
 }
 
 /// Returns retries to the budget that were taken and reached no upstream.
-pub fn return_retries(core: &ProxyCore, service: &ServiceName, retries: u16) {
+pub fn refund_retries(core: &ProxyCore, service: &ServiceName, retries: u16) {
     if let Some(budget) = core.retry_budgets.borrow_mut().get_mut(service) {
         budget.refund(retries);
     }
@@ -44,7 +44,7 @@
 
 /// Takes the calls to other services that a retry of a class repeats from their budgets. Returns false and takes nothing if a
 /// budget has no room for them.
-pub fn take_call_budget(core: &ProxyCore, class: &ClassName) -> bool {
+pub fn spend_call_budget(core: &ProxyCore, class: &ClassName) -> bool {
     let calls = ExpectedCalls::of_execution(core, class);
     let mut budgets = core.retry_budgets.borrow_mut();
     calls.check_budgets(&mut budgets, RetryBudget::can_spend)
@@ -86,7 +86,7 @@
 
 fn compute_budget_share(core: &ProxyCore) -> RetryBudgetShare {
     RetryBudgetShare {
-        rules: core.limits().repeats,
+        settings: core.limits().repeats,
         nodes: core.directory.borrow().nodes.len(),
         uptime: core.timers.now().since(core.started),
     }
--- a/src/proxy/start.rs
+++ b/src/proxy/start.rs
@@ -36,13 +36,13 @@
 pub async fn run_proxy(core: &Rc<ProxyCore>, listeners: ProxyListeners, stop: &Receiver<()>) {
     spawn_local(serve_callers(
         listeners.clients,
-        limits(),
+        build_caller_limits(),
         core.timers.clone(),
         Rc::new(ClientHandler::new(Rc::clone(core))),
     ));
     spawn_local(serve_callers(
         listeners.peers,
-        limits(),
+        build_caller_limits(),
         core.timers.clone(),
         Rc::new(PeerHandler::new(Rc::clone(core))),
     ));
@@ -57,7 +57,7 @@
 
 /// Limits on the connections and requests of clients and other nodes.
 #[must_use]
-pub fn limits() -> CallerLimits {
+pub fn build_caller_limits() -> CallerLimits {
     CallerLimits {
         max_connections: MAX_CONNECTIONS,
         head_timeout: HEAD_TIMEOUT,
--- a/src/proxy/state_messages.rs
+++ b/src/proxy/state_messages.rs
@@ -18,7 +18,7 @@
     reuse: ConnectionReuse::Any,
     connect_timeout: Duration::from_millis(250),
     idle_limit: MAX_IDLE_TIME,
-    body_limit: MAX_BODY_BYTES,
+    max_body_bytes: MAX_BODY_BYTES,
     answer_timeouts: Some(AnswerTimeouts {
         head: ANSWER_TIMEOUT,
         body_chunk: ANSWER_TIMEOUT,
--- a/src/state/configuration.rs
+++ b/src/state/configuration.rs
@@ -99,7 +99,7 @@
         let build_service = |service: &ServiceEntry| ServiceConfiguration {
             name: service.name.clone(),
             health_path: service.health_path.clone(),
-            warm_up: None,
+            warmup: None,
         };
         RoutingTable {
             version,
--- a/src/state/routing_table.rs
+++ b/src/state/routing_table.rs
@@ -73,12 +73,12 @@
     pub health_path: ArcStr,
     /// Limit for upstreams that are warming up; `None` if they can take the full load at once.
     #[serde(rename = "when_cold", default, skip_serializing_if = "Option::is_none")]
-    pub warm_up: Option<WarmUpLimit>,
+    pub warmup: Option<WarmupLimit>,
 }
 
 /// Limit for an upstream that is warming up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct WarmUpLimit {
+pub struct WarmupLimit {
     /// Requests per minute that one upstream can take while it is warming up.
     pub requests_per_minute: u32,
     /// How long the warm-up takes.
--- a/src/transport/outgoing.rs
+++ b/src/transport/outgoing.rs
@@ -97,7 +97,7 @@
     /// Idle time after which a connection is closed instead of reused.
     pub idle_limit: Duration,
     /// Largest answer body, in bytes.
-    pub body_limit: usize,
+    pub max_body_bytes: usize,
     /// Timeouts for the parts of the answer; `None` if the sender of the request limits its time.
     pub answer_timeouts: Option<AnswerTimeouts>,
 }
@@ -239,7 +239,7 @@
         incoming: Incoming,
         options: SendOptions,
     ) -> Result<Bytes, ExchangeError> {
-        let mut body = Limited::new(incoming, options.body_limit);
+        let mut body = Limited::new(incoming, options.max_body_bytes);
         let mut bytes = BytesMut::new();
         let chunk_timeout = options.answer_timeouts.map(|timeouts| timeouts.body_chunk);
         while let Some(frame) = self.wait_at_most(chunk_timeout, body.frame()).await? {
--- a/tests/integration/crash_counting.rs
+++ b/tests/integration/crash_counting.rs
@@ -5,7 +5,7 @@
     coordination::crash_counters::{CRASH_COUNTERS, order_crash_counters},
     protocol::{
         hop::{CrashFinding, StateMessage},
-        store::{parse_quarantine_key, quarantine_key},
+        store::{build_quarantine_key, parse_quarantine_key},
     },
     state::{
         answered_requests::AnsweredRequests,
@@ -177,7 +177,7 @@
 #[test]
 fn parse_quarantine_key_rejects_node_keys() {
     assert_eq!(
-        parse_quarantine_key(&quarantine_key(fingerprint(1))),
+        parse_quarantine_key(&build_quarantine_key(fingerprint(1))),
         Some(fingerprint(1))
     );
     for key in ["10.1.0.6", "n1", "quarantine/", "quarantine/xyz"] {
--- a/tests/integration/metrics_page.rs
+++ b/tests/integration/metrics_page.rs
@@ -1,7 +1,7 @@
 //! Compares the operators' page of metrics with the metrics that a node serves.
 
 use camphorturn::{
-    coordination::{retry_budget::RetryBudgetRules, slow_start::SlowStartRules},
+    coordination::{retry_budget::RetryBudgetSettings, slow_start::SlowStartSettings},
     options::proxy_settings::{HeaderNames, LineRules, NodeBounds, ProxySettings},
     proxy::{core::ProxyCore, metrics::render_metrics},
     state::class_counts::ClassCounts,
@@ -24,7 +24,7 @@
         upstream: address,
         service: "desk".into(),
         bounds: NodeBounds {
-            repeats: RetryBudgetRules {
+            repeats: RetryBudgetSettings {
                 ratio: 0.2,
                 slack: 60.0,
                 window: Duration::from_secs(10),
@@ -32,7 +32,7 @@
             probes_per_second: 60.0,
             grace: Duration::from_secs(6),
             configuration_apply: Duration::from_secs(2),
-            slow_start: SlowStartRules::default(),
+            slow_start: SlowStartSettings::default(),
         },
         lines: LineRules { one_in: 1, kept: 0 },
         operators: None,
--- a/tests/integration/outgoing.rs
+++ b/tests/integration/outgoing.rs
@@ -21,7 +21,7 @@
         reuse,
         connect_timeout: Duration::from_secs(20),
         idle_limit: Duration::from_secs(1),
-        body_limit: 64 * 1024,
+        max_body_bytes: 64 * 1024,
         answer_timeouts: None,
     }
 }
--- a/tests/integration/retry_budget.rs
+++ b/tests/integration/retry_budget.rs
@@ -5,7 +5,7 @@
 use camphorturn::{
     coordination::{
         calls_per_execution::{CallsPerExecution, ExecutionStart},
-        retry_budget::{RetryBudget, RetryBudgetRules, RetryBudgetShare},
+        retry_budget::{RetryBudget, RetryBudgetSettings, RetryBudgetShare},
     },
     state::{
         names::{ClassName, ServiceName},
@@ -19,7 +19,7 @@
     time::Duration,
 };
 
-const RULES: RetryBudgetRules = RetryBudgetRules {
+const SETTINGS: RetryBudgetSettings = RetryBudgetSettings {
     ratio: 0.2,
     slack: 62.0,
     window: Duration::from_secs(10),
@@ -28,7 +28,7 @@
 
 fn share(nodes: usize, uptime: Duration) -> RetryBudgetShare {
     RetryBudgetShare {
-        rules: RULES,
+        settings: SETTINGS,
         nodes,
         uptime,
     }
@@ -57,13 +57,13 @@
                     let granted = node.try_spend(now, share(NODES, LONG_UPTIME), 1.0);
                     granted_at.extend(granted.then_some(now));
                 } else {
-                    node.count_request(now, RULES);
+                    node.count_request(now, SETTINGS);
                     requested_at.push(now);
                 }
-                let within = |at: &&Timestamp| now.since(**at) <= RULES.window;
+                let within = |at: &&Timestamp| now.since(**at) <= SETTINGS.window;
                 let retries = granted_at.iter().filter(within).count();
                 let requests = requested_at.iter().filter(within).count();
-                let allowed = 0.2 * to_float(requests) + RULES.slack;
+                let allowed = 0.2 * to_float(requests) + SETTINGS.slack;
                 assert!(to_float(retries) <= allowed);
             }
         });
@@ -83,7 +83,7 @@
             }
         }
     }
-    assert!(spent <= RULES.slack, "{spent}");
+    assert!(spent <= SETTINGS.slack, "{spent}");
 }
 
 #[test]
@@ -227,7 +227,7 @@
                 let node = &mut self.nodes[entry];
                 node.calls.record_request(&Self::name(service), now);
                 let budget = node.budgets.entry(service).or_default();
-                budget.count_request(now, RULES);
+                budget.count_request(now, SETTINGS);
                 self.requests[service].push(now);
                 if is_retry {
                     self.retry_arrivals[service].push(now);
@@ -315,7 +315,7 @@
 /// Maximum share over all windows. The allowed retries follow from the requests of the window itself, of the window that starts
 /// half a window earlier, or of the one before it, whichever has the most requests.
 fn find_max_used_share(requests: &[Timestamp], retry_arrivals: &[Timestamp]) -> f64 {
-    let window = RULES.window;
+    let window = SETTINGS.window;
     let count = |from: Timestamp, times: &[Timestamp]| {
         let first = times.partition_point(|at| *at < from);
         let last = times.partition_point(|at| *at <= from + window);
@@ -327,7 +327,7 @@
         let spans = [*from, earlier(*from, window / 2), earlier(*from, window)];
         let max_requests = spans.map(|from| count(from, requests)).into_iter();
         let max_requests = max_requests.fold(0.0, f64::max);
-        count(*from, retry_arrivals) / (RULES.ratio * max_requests + RULES.slack)
+        count(*from, retry_arrivals) / (SETTINGS.ratio * max_requests + SETTINGS.slack)
     };
     retry_arrivals.iter().map(used_share).fold(0.0, f64::max)
 }
--- a/tests/integration/slow_start.rs
+++ b/tests/integration/slow_start.rs
@@ -1,7 +1,7 @@
 //! Number of requests that a cold upstream gets within any second.
 
 use camphorturn::{
-    coordination::slow_start::{SlowStart, SlowStartRules, WarmupReport},
+    coordination::slow_start::{SlowStart, SlowStartSettings, WarmupReport},
     state::timestamp::Timestamp,
 };
 use std::time::Duration;
@@ -34,12 +34,12 @@
 
 #[test]
 fn limit_from_rate_and_slack() {
-    let rules = SlowStartRules {
+    let settings = SlowStartSettings {
         overage: 1.5,
         slack: 8.0,
     };
-    assert_eq!(rules.limit(600), 23);
-    assert_eq!(SlowStartRules::default().limit(30), 1);
+    assert_eq!(settings.limit(600), 23);
+    assert_eq!(SlowStartSettings::default().limit(30), 1);
 }
 
 #[test]
--- a/tests/integration/table_change.rs
+++ b/tests/integration/table_change.rs
@@ -72,7 +72,7 @@
     ServiceConfiguration {
         name: service_name(number),
         health_path: ArcStr::from("/health"),
-        warm_up: None,
+        warmup: None,
     }
 }
 
--- a/tests/integration/table_spreading/tables.rs
+++ b/tests/integration/table_spreading/tables.rs
@@ -27,7 +27,7 @@
     ServiceConfiguration {
         name: service_name(number),
         health_path: ArcStr::from("/health"),
-        warm_up: None,
+        warmup: None,
     }
 }
 
