--- a/soak/src/checks.rs
+++ b/soak/src/checks.rs
@@ -5,7 +5,7 @@
     machine::{CRASHING_PREFIX, choose_zone},
 };
 use camphorturn::local_mesh::client::CallFailure;
-use camphorturn_stand_ins::upstream::RanRequest;
+use camphorturn_stand_ins::upstream::ExecutedRequest;
 use std::{
     collections::{BTreeMap, HashMap},
     time::{Duration, Instant},
@@ -35,8 +35,8 @@
 
 /// Every promise that was broken.
 #[must_use]
-pub fn find_violations(history: &History, runs: &[RanRequest]) -> Vec<Violation> {
-    let mut by_target: HashMap<&str, Vec<&RanRequest>> = HashMap::new();
+pub fn find_violations(history: &History, runs: &[ExecutedRequest]) -> Vec<Violation> {
+    let mut by_target: HashMap<&str, Vec<&ExecutedRequest>> = HashMap::new();
     for run in runs {
         by_target.entry(&run.target).or_default().push(run);
     }
@@ -58,7 +58,7 @@
     found
 }
 
-fn violation(promise: &'static str, request: &CallerRecord, ran: &[&RanRequest]) -> Violation {
+fn violation(promise: &'static str, request: &CallerRecord, ran: &[&ExecutedRequest]) -> Violation {
     let by: Vec<&str> = ran.iter().map(|run| run.instance.as_str()).collect();
     let took = request.ended.duration_since(request.sent);
     Violation {
@@ -73,7 +73,7 @@
     }
 }
 
-fn check_request(request: &CallerRecord, ran: &[&RanRequest]) -> Option<Violation> {
+fn check_request(request: &CallerRecord, ran: &[&ExecutedRequest]) -> Option<Violation> {
     let promise = match &request.answer {
         _ if !request.idempotent && ran.len() > 1 => "what must not run twice runs once",
         Ok((503 | 429, _)) if !request.idempotent && !ran.is_empty() => "refused means not run",
@@ -128,7 +128,7 @@
 /// A request that was read and run is answered by a node that stops as planned.
 fn check_planned_stop(
     request: &CallerRecord,
-    ran: &[&RanRequest],
+    ran: &[&ExecutedRequest],
     history: &History,
 ) -> Option<Violation> {
     if request.answer != Err(CallFailure::Cut) || ran.is_empty() {
@@ -155,7 +155,7 @@
     Some(violation(promise, request, ran))
 }
 
-fn check_unasked(history: &History, runs: &[RanRequest]) -> Vec<Violation> {
+fn check_unasked(history: &History, runs: &[ExecutedRequest]) -> Vec<Violation> {
     let asked: HashMap<&str, &CallerRecord> = history
         .requests
         .iter()
@@ -170,21 +170,23 @@
         .collect()
 }
 
-fn check_drains(history: &History, runs: &[RanRequest]) -> Vec<Violation> {
+fn check_drains(history: &History, runs: &[ExecutedRequest]) -> Vec<Violation> {
     let mut found = Vec::new();
     for acknowledged in &history.acknowledged {
         let Acknowledged::Leaving { instance, born, at } = acknowledged else {
             continue;
         };
         let late = runs.iter().filter(|run| {
-            run.instance == *instance && run.born == *born && run.at > *at + DRAIN_BOUND
+            run.instance == *instance
+                && run.incarnation_started_ms == *born
+                && run.executed_at > *at + DRAIN_BOUND
         });
         found.extend(late.map(|run| Violation {
             promise: "a leaving upstream gets no work",
             seen: format!(
                 "{} at {instance}, {} ms after",
                 run.target,
-                run.at.duration_since(*at).as_millis()
+                run.executed_at.duration_since(*at).as_millis()
             ),
         }));
     }
@@ -192,19 +194,19 @@
 }
 
 /// Number of the VM whose upstream ran a request.
-fn find_machine(run: &RanRequest) -> Option<usize> {
+fn find_machine(run: &ExecutedRequest) -> Option<usize> {
     let (number, _) = run.instance.strip_prefix('u')?.split_once('-')?;
     number.parse().ok()
 }
 
-fn check_evacuations(history: &History, runs: &[RanRequest]) -> Vec<Violation> {
+fn check_evacuations(history: &History, runs: &[ExecutedRequest]) -> Vec<Violation> {
     let mut found = Vec::new();
     for evacuation in &history.evacuations {
         let owed = evacuation.from + EVACUATED_BOUND;
         let late = runs.iter().filter(|run| {
             let is_in_zone = find_machine(run).map(choose_zone) == Some(evacuation.zone);
-            let is_before_end = evacuation.to.is_none_or(|to| run.at < to);
-            is_in_zone && run.at > owed && is_before_end && is_in_touch(history, run)
+            let is_before_end = evacuation.to.is_none_or(|to| run.executed_at < to);
+            is_in_zone && run.executed_at > owed && is_before_end && is_in_touch(history, run)
         });
         found.extend(late.map(|run| Violation {
             promise: "an evacuated zone gets no work",
@@ -212,7 +214,7 @@
                 "{} at {}, {} ms after",
                 run.target,
                 run.instance,
-                run.at.duration_since(evacuation.from).as_millis()
+                run.executed_at.duration_since(evacuation.from).as_millis()
             ),
         }));
     }
@@ -220,7 +222,7 @@
 }
 
 /// In no second in which it is cold, and has said so, an upstream gets more than its service tolerates.
-fn check_cold_upstreams(history: &History, runs: &[RanRequest]) -> Vec<Violation> {
+fn check_cold_upstreams(history: &History, runs: &[ExecutedRequest]) -> Vec<Violation> {
     let mut found = Vec::new();
     for cold in &history.cold_times {
         let is_held_up = |held_up: &ColdTime| {
@@ -233,8 +235,9 @@
         let of_upstream = runs
             .iter()
             .filter(|run| find_machine(run) == Some(cold.node));
-        let while_cold = of_upstream.filter(|run| told <= run.at && run.at < cold.to);
-        let mut times: Vec<Instant> = while_cold.map(|run| run.at).collect();
+        let while_cold =
+            of_upstream.filter(|run| told <= run.executed_at && run.executed_at < cold.to);
+        let mut times: Vec<Instant> = while_cold.map(|run| run.executed_at).collect();
         times.sort();
         let second = Duration::from_secs(1);
         let broken = times
@@ -255,7 +258,7 @@
 
 /// A request that has crashed three upstreams reaches hardly any more, once all nodes have heard of it.
 fn check_crashing(
-    by_target: &HashMap<&str, Vec<&RanRequest>>,
+    by_target: &HashMap<&str, Vec<&ExecutedRequest>>,
     history: &History,
 ) -> Vec<Violation> {
     let mut found = Vec::new();
@@ -264,12 +267,12 @@
             continue;
         }
         let mut ran = ran.clone();
-        ran.sort_by_key(|run| run.at);
+        ran.sort_by_key(|run| run.executed_at);
         let Some(third) = ran.get(CRASHES_KNOWN_AFTER - 1) else {
             continue;
         };
-        let known = third.at + IN_TOUCH_AFTER;
-        let late = ran.iter().filter(|run| run.at > known);
+        let known = third.executed_at + IN_TOUCH_AFTER;
+        let late = ran.iter().filter(|run| run.executed_at > known);
         let late = late.filter(|run| is_in_touch(history, run)).count();
         if late > CRASHES_ALLOWED {
             found.push(Violation {
@@ -282,9 +285,12 @@
 }
 
 /// Whether nothing has kept the node beside the upstream from hearing of the others for so long before a run.
-fn is_in_touch(history: &History, run: &RanRequest) -> bool {
-    let begin = run.at.checked_sub(IN_TOUCH_AFTER).unwrap_or(run.at);
-    let overlaps = |from: Instant, to: Instant| from <= run.at && begin <= to;
+fn is_in_touch(history: &History, run: &ExecutedRequest) -> bool {
+    let begin = run
+        .executed_at
+        .checked_sub(IN_TOUCH_AFTER)
+        .unwrap_or(run.executed_at);
+    let overlaps = |from: Instant, to: Instant| from <= run.executed_at && begin <= to;
     let is_of_node = |node: usize| run.instance.starts_with(&format!("u{node}-"));
     let mut hindrances = history.hindrances.iter();
     let mut disturbances = history.disturbances.iter();
--- a/soak/src/heartbeats.rs
+++ b/soak/src/heartbeats.rs
@@ -31,7 +31,7 @@
 }
 
 async fn send_heartbeat(world: &World, machine: &Machine, client: &CallerClient) {
-    let (instance, born) = (machine.instance(), machine.upstream.born());
+    let (instance, born) = (machine.instance(), machine.upstream.started_ms());
     let leaving = machine.leaving.get();
     let body = describe(machine).into_bytes();
     let taken = send(machine, client, body).await;
@@ -59,7 +59,7 @@
 fn describe(machine: &Machine) -> String {
     json!({
         "service": machine.plan.service, "address": machine.upstream_link.address.to_string(),
-        "zone": machine.plan.zone, "version": "v1", "slots": 6, "born": machine.upstream.born(),
+        "zone": machine.plan.zone, "version": "v1", "slots": 6, "born": machine.upstream.started_ms(),
         "state": if machine.leaving.get() { "draining" } else { "ready" },
         "warmup_left_s": machine.upstream.warmup_left().as_secs_f64(), "sequence": machine.count_heartbeat(),
     })
--- a/soak/src/machine.rs
+++ b/soak/src/machine.rs
@@ -5,7 +5,7 @@
     plan::IllLink,
 };
 use camphorturn_stand_ins::upstream::{
-    RunRecord, ServiceTime, StandInUpstream, UpstreamNames, UpstreamSettings,
+    ExecutionLog, ServiceTime, StandInUpstream, UpstreamHeaderNames, UpstreamSettings,
 };
 use nix::{
     sys::signal::{Signal, kill},
@@ -94,19 +94,23 @@
     ///
     /// # Errors
     /// If no port is free.
-    pub async fn open(plan: MachinePlan, store: SocketAddr, runs: RunRecord) -> io::Result<Self> {
+    pub async fn open(
+        plan: MachinePlan,
+        store: SocketAddr,
+        executions: ExecutionLog,
+    ) -> io::Result<Self> {
         let settings = UpstreamSettings {
             instance: name_run(plan.number, 1),
-            names: UpstreamNames::PLATFORM,
+            names: UpstreamHeaderNames::PLATFORM,
             slots: SLOTS,
-            times: vec![ServiceTime {
+            service_times: vec![ServiceTime {
                 path_prefix: "/".to_owned(),
                 median: Duration::from_millis(8),
                 spread: 0.6,
             }],
             seed: plan.number as u64,
-            echoes: true,
-            runs,
+            echoes_request: true,
+            executions,
             crash_prefixes: vec![CRASHING_PREFIX.to_owned()],
         };
         let upstream = StandInUpstream::start_with(settings).await?;
@@ -173,14 +177,14 @@
         self.leaving.set(false);
         self.heartbeats.set(0);
         self.upstream.set_leaving(false);
-        self.upstream.replace(&self.instance());
+        self.upstream.replace_incarnation(&self.instance());
     }
 
     /// The upstream starts again after a crash, under the identity that it had.
     pub fn restart_upstream(&self) {
         self.leaving.set(false);
         self.heartbeats.set(0);
-        self.upstream.start_again();
+        self.upstream.restart_after_crash();
     }
 
     /// Number of the next heartbeat of the present run.
--- a/soak/src/plan.rs
+++ b/soak/src/plan.rs
@@ -4,7 +4,7 @@
     foreign::{Damage, ForeignPlace},
     machine::ZONES,
 };
-use camphorturn_stand_ins::{store::StoreCondition, upstream::UpstreamAct};
+use camphorturn_stand_ins::{store::StoreCondition, upstream::UpstreamAction};
 use rand::{Rng, RngExt, SeedableRng, rngs::StdRng};
 use std::time::Duration;
 
@@ -38,14 +38,14 @@
     use IllLink::{AnswersLost, Reset, Silent, Slow};
     [Slow, Reset, AnswersLost, Silent]
 };
-const ACTS: [UpstreamAct; 7] = [
-    UpstreamAct::Fail,
-    UpstreamAct::Shed,
-    UpstreamAct::LoseAnswer,
-    UpstreamAct::CutBody,
-    UpstreamAct::ForeignId,
-    UpstreamAct::Unsigned,
-    UpstreamAct::AnswerTwice,
+const ACTS: [UpstreamAction; 7] = [
+    UpstreamAction::Fail,
+    UpstreamAction::Shed,
+    UpstreamAction::LoseAnswer,
+    UpstreamAction::CutBody,
+    UpstreamAction::ForeignId,
+    UpstreamAction::Unsigned,
+    UpstreamAction::AnswerTwice,
 ];
 const PLACES: [ForeignPlace; 5] = [
     ForeignPlace::OwnRecord,
@@ -98,7 +98,7 @@
         /// The node beside it.
         node: usize,
         /// What.
-        act: UpstreamAct,
+        act: UpstreamAction,
         /// How many requests.
         times: usize,
     },
--- a/soak/src/play.rs
+++ b/soak/src/play.rs
@@ -111,7 +111,7 @@
         machine.signal(Signal::SIGCONT);
         Machine::set_link(&machine.store_link, None);
         Machine::set_link(&machine.upstream_link, None);
-        machine.upstream.forget_plan();
+        machine.upstream.clear_planned_actions();
     }
 }
 
@@ -169,12 +169,12 @@
             }
         }
         Fault::TurnCold(node) => {
-            machine(node).upstream.turn_cold(lasts);
+            machine(node).upstream.start_warmup(lasts);
             let to = from + lasts;
             let cold = ColdTime { node, from, to };
             world.history.borrow_mut().cold_times.push(cold);
         }
-        Fault::Act { node, act, times } => machine(node).upstream.plan(&vec![act; times]),
+        Fault::Act { node, act, times } => machine(node).upstream.plan_actions(&vec![act; times]),
         Fault::Leave(node) => {
             machine(node).leaving.set(true);
             machine(node).upstream.set_leaving(true);
--- a/soak/src/world.rs
+++ b/soak/src/world.rs
@@ -12,7 +12,7 @@
 use camphorturn::local_mesh::client::{CallerCall, CallerClient};
 use camphorturn_stand_ins::{
     store::{LostRecord, StandInStore},
-    upstream::{RanRequest, RunRecord},
+    upstream::{ExecutedRequest, ExecutionLog},
 };
 use http::{HeaderMap, Method};
 use std::{
@@ -59,7 +59,7 @@
     pub folder: PathBuf,
     /// What the operator has published.
     pub configurations: RefCell<Configurations>,
-    runs: RunRecord,
+    runs: ExecutionLog,
     over: Cell<bool>,
 }
 
@@ -74,7 +74,7 @@
         let folder = env::temp_dir().join(name);
         fs::create_dir_all(&folder)?;
         let store = StandInStore::start().await?;
-        let runs = RunRecord::default();
+        let runs = ExecutionLog::default();
         let mut machines = Vec::new();
         for number in 0..nodes {
             let plan = MachinePlan {
@@ -85,7 +85,7 @@
                 folder: folder.clone(),
                 link_rate: link_rate.filter(|_| number < THIN_PAIRS / nodes),
             };
-            machines.push(Machine::open(plan, store.address, RunRecord::clone(&runs)).await?);
+            machines.push(Machine::open(plan, store.address, ExecutionLog::clone(&runs)).await?);
         }
         let world = Rc::new(Self {
             store,
@@ -206,7 +206,7 @@
 
     /// What upstreams have run so far.
     #[must_use]
-    pub fn list_runs(&self) -> Vec<RanRequest> {
+    pub fn list_runs(&self) -> Vec<ExecutedRequest> {
         let runs = self.runs.lock();
         runs.unwrap_or_else(PoisonError::into_inner).clone()
     }
--- a/soak/tests/checks.rs
+++ b/soak/tests/checks.rs
@@ -5,7 +5,7 @@
     checks::{COLD_LIMIT, EVACUATED_BOUND, IN_FORCE_BOUND, find_violations},
     history::{Acknowledged, CallerRecord, ColdTime, Disturbance, Evacuation, Hindrance, History},
 };
-use camphorturn_stand_ins::upstream::RanRequest;
+use camphorturn_stand_ins::upstream::ExecutedRequest;
 use std::time::{Duration, Instant};
 
 const MILLISECOND: Duration = Duration::from_millis(1);
@@ -27,16 +27,16 @@
     }
 }
 
-fn ran(target: &str, at: Instant) -> RanRequest {
-    RanRequest {
+fn ran(target: &str, executed_at: Instant) -> ExecutedRequest {
+    ExecutedRequest {
         target: target.to_owned(),
         instance: "u1-1".to_owned(),
-        born: 1,
-        at,
+        incarnation_started_ms: 1,
+        executed_at,
     }
 }
 
-fn check(history: &History, runs: &[RanRequest]) -> Vec<&'static str> {
+fn check(history: &History, runs: &[ExecutedRequest]) -> Vec<&'static str> {
     let found = find_violations(history, runs);
     found.iter().map(|violation| violation.promise).collect()
 }
@@ -151,8 +151,8 @@
         check(&history, &[ran("/look/1", now + MILLISECOND)]),
         [""; 0]
     );
-    let started_again = RanRequest {
-        born: 2,
+    let started_again = ExecutedRequest {
+        incarnation_started_ms: 2,
         ..ran("/look/1", late)
     };
     assert_eq!(check(&history, &[started_again]), [""; 0]);
@@ -298,7 +298,7 @@
         hindrances: hinders.into_iter().collect(),
         ..History::default()
     };
-    let runs: Vec<RanRequest> = (0..runs).map(|number| ran(target, at(number))).collect();
+    let runs: Vec<ExecutedRequest> = (0..runs).map(|number| ran(target, at(number))).collect();
     check(&history, &runs)
 }
 
--- a/src/local_mesh/node.rs
+++ b/src/local_mesh/node.rs
@@ -18,7 +18,7 @@
     transport::operators::server::{OperatorServer, serve_operators},
 };
 use camphorturn_stand_ins::upstream::{
-    RunRecord, StandInUpstream, UpstreamNames, UpstreamSettings,
+    ExecutionLog, StandInUpstream, UpstreamHeaderNames, UpstreamSettings,
 };
 use flume::{Receiver, Sender};
 use std::{
@@ -49,7 +49,7 @@
 const PROBES_PER_SECOND: f64 = 60.0;
 
 /// What stand-in upstreams of a local mesh call their headers: as [`HeaderNames::product`].
-const UPSTREAM_NAMES: UpstreamNames = UpstreamNames {
+const UPSTREAM_NAMES: UpstreamHeaderNames = UpstreamHeaderNames {
     request_id: "x-request-id",
     target_instance: "x-target-instance",
     instance: "x-instance",
@@ -70,7 +70,7 @@
     /// Where the upstream listens.
     pub upstream: SocketAddr,
     /// What the upstream ran.
-    pub runs: RunRecord,
+    pub runs: ExecutionLog,
     stop: Sender<Order>,
     server: Option<OperatorServer>,
     thread: Option<JoinHandle<()>>,
@@ -140,11 +140,11 @@
 pub fn start_node(plan: &NodePlan, store: &LocalStore) -> Result<LocalNode, LocalMeshError> {
     let (stop, orders) = flume::unbounded();
     let (tx, started) = flume::bounded(1);
-    let runs = RunRecord::default();
+    let runs = ExecutionLog::default();
     let setup = NodeSetup {
         plan: plan.clone(),
         store: store.clone(),
-        runs: RunRecord::clone(&runs),
+        runs: ExecutionLog::clone(&runs),
     };
     let name = plan.name.to_string();
     let thread = thread::Builder::new()
@@ -167,7 +167,7 @@
 struct NodeSetup {
     plan: NodePlan,
     store: LocalStore,
-    runs: RunRecord,
+    runs: ExecutionLog,
 }
 
 type StartResult = Result<Started, LocalMeshError>;
@@ -270,15 +270,15 @@
     Ok((running, started))
 }
 
-fn describe_upstream(plan: &NodePlan, runs: RunRecord) -> UpstreamSettings {
+fn describe_upstream(plan: &NodePlan, executions: ExecutionLog) -> UpstreamSettings {
     UpstreamSettings {
         instance: plan.name.to_string(),
         names: UPSTREAM_NAMES,
         slots: plan.slots,
-        times: plan.service_times.clone(),
+        service_times: plan.service_times.clone(),
         seed: plan.seed,
-        echoes: true,
-        runs,
+        echoes_request: true,
+        executions,
         crash_prefixes: Vec::new(),
     }
 }
--- a/stand-ins/src/upstream.rs
+++ b/stand-ins/src/upstream.rs
@@ -6,7 +6,9 @@
 mod serving;
 mod settings;
 
-pub use settings::{RanRequest, RunRecord, ServiceTime, UpstreamNames, UpstreamSettings};
+pub use settings::{
+    ExecutedRequest, ExecutionLog, ServiceTime, UpstreamHeaderNames, UpstreamSettings,
+};
 
 use crate::http::PlainRequest;
 use listening::{accept, listen, reserve_port};
@@ -29,7 +31,7 @@
 
 /// What becomes of one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum UpstreamAct {
+pub enum UpstreamAction {
     /// Run it and answer.
     Answer,
     /// Run it, answer 500.
@@ -61,14 +63,14 @@
     random: RefCell<StdRng>,
     slots: Semaphore,
     instance: RefCell<String>,
-    born: Cell<u64>,
+    started_ms: Cell<u64>,
     crashed: Cell<bool>,
     crashes: Notify,
     slowdown: Cell<u16>,
     cold_until: Cell<Option<Instant>>,
-    acts: RefCell<VecDeque<UpstreamAct>>,
-    arrivals: RefCell<Vec<PlainRequest>>,
-    health_questions: Cell<u32>,
+    acts: RefCell<VecDeque<UpstreamAction>>,
+    received_requests: RefCell<Vec<PlainRequest>>,
+    health_checks: Cell<u32>,
     leaving: Cell<bool>,
     running: Cell<u32>,
     changed: Notify,
@@ -105,14 +107,14 @@
             random: RefCell::new(StdRng::seed_from_u64(settings.seed)),
             slots: Semaphore::new(settings.slots.into()),
             instance: RefCell::new(settings.instance.clone()),
-            born: Cell::new(read_clock()),
+            started_ms: Cell::new(read_clock()),
             crashed: Cell::default(),
             crashes: Notify::new(),
             slowdown: Cell::new(100),
             cold_until: Cell::default(),
             acts: RefCell::default(),
-            arrivals: RefCell::default(),
-            health_questions: Cell::default(),
+            received_requests: RefCell::default(),
+            health_checks: Cell::default(),
             leaving: Cell::default(),
             running: Cell::default(),
             changed: Notify::new(),
@@ -130,33 +132,33 @@
     }
 
     /// Acts for the next requests, in their order; after these it answers.
-    pub fn plan(&self, acts: &[UpstreamAct]) {
+    pub fn plan_actions(&self, acts: &[UpstreamAction]) {
         self.state.acts.borrow_mut().extend(acts);
     }
 
     /// Forgets the acts that were planned.
-    pub fn forget_plan(&self) {
+    pub fn clear_planned_actions(&self) {
         self.state.acts.borrow_mut().clear();
     }
 
     /// Times that it ran the request with that target.
     #[must_use]
-    pub fn count_runs(&self, target: &str) -> usize {
-        let runs = self.state.settings.runs.lock();
-        let runs = runs.unwrap_or_else(PoisonError::into_inner);
-        runs.iter().filter(|run| run.target == target).count()
+    pub fn count_executions(&self, target: &str) -> usize {
+        let executions = self.state.settings.executions.lock();
+        let executions = executions.unwrap_or_else(PoisonError::into_inner);
+        executions.iter().filter(|run| run.target == target).count()
     }
 
     /// Another run takes the address.
-    pub fn replace(&self, instance: &str) {
+    pub fn replace_incarnation(&self, instance: &str) {
         instance.clone_into(&mut self.state.instance.borrow_mut());
-        self.state.be_born();
+        self.state.start_incarnation();
     }
 
     /// When the present run started, in whole Unix milliseconds, as its heartbeats tell.
     #[must_use]
-    pub fn born(&self) -> u64 {
-        self.state.born.get()
+    pub fn started_ms(&self) -> u64 {
+        self.state.started_ms.get()
     }
 
     /// Whether it has crashed and not started again.
@@ -165,7 +167,7 @@
         self.state.crashed.get()
     }
 
-    /// Ends all connections in the middle of whatever they carry, and refuses new ones until [`Self::start_again`].
+    /// Ends all connections in the middle of whatever they carry, and refuses new ones until [`Self::restart_after_crash`].
     pub fn crash(&self) {
         self.state.crash();
     }
@@ -174,7 +176,7 @@
     ///
     /// # Panics
     /// If its port can't be listened on any more.
-    pub fn start_again(&self) {
+    pub fn restart_after_crash(&self) {
         let listener = listen(self.address).expect("the port is reserved");
         *self.state.listener.borrow_mut() = Some(listener);
         if let Some(waker) = self.state.acceptor.take() {
@@ -182,7 +184,7 @@
         }
         self.state.crashed.set(false);
         self.state.leaving.set(false);
-        self.state.be_born();
+        self.state.start_incarnation();
     }
 
     /// How long work takes, in percent of the usual; told, not acted.
@@ -191,7 +193,7 @@
     }
 
     /// Becomes cold for that long; told, not acted.
-    pub fn turn_cold(&self, lasts: Duration) {
+    pub fn start_warmup(&self, lasts: Duration) {
         self.state.cold_until.set(Some(Instant::now() + lasts));
     }
 
@@ -208,14 +210,14 @@
 
     /// Requests that reached it, health questions not included.
     #[must_use]
-    pub fn arrivals(&self) -> Vec<PlainRequest> {
-        self.state.arrivals.borrow().clone()
+    pub fn received_requests(&self) -> Vec<PlainRequest> {
+        self.state.received_requests.borrow().clone()
     }
 
     /// Health questions so far.
     #[must_use]
-    pub fn health_questions(&self) -> u32 {
-        self.state.health_questions.get()
+    pub fn health_checks(&self) -> u32 {
+        self.state.health_checks.get()
     }
 
     /// Requests that run now.
@@ -225,7 +227,7 @@
     }
 
     /// Waits until `count` requests run.
-    pub async fn wait_running(&self, count: u32) {
+    pub async fn wait_for_running(&self, count: u32) {
         while self.state.running.get() != count {
             self.state.changed.notified().await;
         }
--- a/stand-ins/src/upstream/answer.rs
+++ b/stand-ins/src/upstream/answer.rs
@@ -2,12 +2,12 @@
 
 use crate::{
     http::{PlainRequest, build_answer},
-    upstream::{UpstreamAct, UpstreamNames, UpstreamSettings},
+    upstream::{UpstreamAction, UpstreamHeaderNames, UpstreamSettings},
 };
 
 /// What an answer is made of.
 pub struct Answer {
-    names: UpstreamNames,
+    names: UpstreamHeaderNames,
     id: String,
     body: Vec<u8>,
 }
@@ -16,7 +16,7 @@
     /// The answer to a request at an upstream with those settings.
     pub fn to(settings: &UpstreamSettings, request: &PlainRequest) -> Self {
         let names = settings.names;
-        let body = if settings.echoes {
+        let body = if settings.echoes_request {
             let start = format!("{} {}\n", request.method, request.target);
             [start.as_bytes(), &request.body].concat()
         } else {
@@ -33,7 +33,7 @@
     }
 
     /// The bytes to send, and whether the connection is kept.
-    pub fn build(&self, act: UpstreamAct, load: &str) -> (Vec<u8>, bool) {
+    pub fn build(&self, act: UpstreamAction, load: &str) -> (Vec<u8>, bool) {
         let names = self.names;
         let id = self.id.as_str();
         let head = |id| {
@@ -44,26 +44,28 @@
             ]
         };
         match act {
-            UpstreamAct::Answer | UpstreamAct::Hold => {
+            UpstreamAction::Answer | UpstreamAction::Hold => {
                 (build_answer(200, &head(id), &self.body), true)
             }
-            UpstreamAct::Fail => (build_answer(500, &head(id), b"failed"), true),
-            UpstreamAct::Shed => {
+            UpstreamAction::Fail => (build_answer(500, &head(id), b"failed"), true),
+            UpstreamAction::Shed => {
                 let headers = [(names.request_id, id), (names.not_executed, "1")];
                 (build_answer(503, &headers, b""), true)
             }
-            UpstreamAct::LoseAnswer | UpstreamAct::Restart => (Vec::new(), false),
-            UpstreamAct::CutBody => {
+            UpstreamAction::LoseAnswer | UpstreamAction::Restart => (Vec::new(), false),
+            UpstreamAction::CutBody => {
                 let mut answer = build_answer(200, &head(id), &self.body);
                 answer.truncate(answer.len() - 4);
                 (answer, false)
             }
-            UpstreamAct::ForeignId => (build_answer(200, &head("another"), &self.body), true),
-            UpstreamAct::Unsigned => {
+            UpstreamAction::ForeignId => (build_answer(200, &head("another"), &self.body), true),
+            UpstreamAction::Unsigned => {
                 let headers = [(names.request_id, id)];
                 (build_answer(200, &headers, &self.body), true)
             }
-            UpstreamAct::AnswerTwice => (build_answer(200, &head(id), &self.body).repeat(2), true),
+            UpstreamAction::AnswerTwice => {
+                (build_answer(200, &head(id), &self.body).repeat(2), true)
+            }
         }
     }
 }
--- a/stand-ins/src/upstream/listening.rs
+++ b/stand-ins/src/upstream/listening.rs
@@ -33,7 +33,7 @@
         self.crash();
         let instance = format!("{}+", self.instance.borrow());
         *self.instance.borrow_mut() = instance;
-        self.be_born();
+        self.start_incarnation();
         self.crashed.set(false);
         let listener = stream.local_addr().and_then(listen);
         *self.listener.borrow_mut() = Some(listener.expect("the port is reserved"));
@@ -43,9 +43,9 @@
     }
 
     /// Runs under one identity are told apart by their start alone, so two of them never share a millisecond.
-    pub fn be_born(&self) {
-        let born = &self.born;
-        born.set(read_clock().max(born.get() + 1));
+    pub fn start_incarnation(&self) {
+        let started_ms = &self.started_ms;
+        started_ms.set(read_clock().max(started_ms.get() + 1));
     }
 
     fn poll_accept(&self, cx: &mut Context<'_>) -> Poll<io::Result<(TcpStream, SocketAddr)>> {
--- a/stand-ins/src/upstream/serving.rs
+++ b/stand-ins/src/upstream/serving.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     http::{PlainRequest, build_answer, read_request, write_all},
-    upstream::{RanRequest, State, UpstreamAct, answer::Answer},
+    upstream::{ExecutedRequest, State, UpstreamAction, answer::Answer},
 };
 use rand::RngExt;
 use std::{
@@ -39,7 +39,7 @@
 }
 
 async fn answer_health(stream: &mut TcpStream, state: &State) -> bool {
-    state.health_questions.set(state.health_questions.get() + 1);
+    state.health_checks.set(state.health_checks.get() + 1);
     let status = if state.leaving.get() { 503 } else { 200 };
     let load = load(state);
     let instance = state.instance.borrow().clone();
@@ -88,26 +88,26 @@
             .is_ok();
     }
     let act = state.acts.borrow_mut().pop_front();
-    let act = act.unwrap_or(UpstreamAct::Answer);
+    let act = act.unwrap_or(UpstreamAction::Answer);
     let answer = Answer::to(&state.settings, &request);
     if state.is_crashed_by(&request.target) {
         note_run(state, &request);
-        state.arrivals.borrow_mut().push(request);
+        state.received_requests.borrow_mut().push(request);
         state.crash();
         return false;
     }
-    if act != UpstreamAct::Shed {
+    if act != UpstreamAction::Shed {
         note_run(state, &request);
     }
-    if act == UpstreamAct::Restart {
-        state.arrivals.borrow_mut().push(request);
+    if act == UpstreamAction::Restart {
+        state.received_requests.borrow_mut().push(request);
         state.restart(stream);
         return false;
     }
     let time = draw_time(state, &request.target);
-    state.arrivals.borrow_mut().push(request);
+    state.received_requests.borrow_mut().push(request);
     let run = Run::start(state);
-    if act == UpstreamAct::Hold && !hold(stream, state).await {
+    if act == UpstreamAction::Hold && !hold(stream, state).await {
         return false;
     }
     if !work(stream, state, time).await {
@@ -119,20 +119,20 @@
 }
 
 fn note_run(state: &State, request: &PlainRequest) {
-    let runs = state.settings.runs.lock();
-    let mut runs = runs.unwrap_or_else(PoisonError::into_inner);
-    runs.push(RanRequest {
+    let executions = state.settings.executions.lock();
+    let mut executions = executions.unwrap_or_else(PoisonError::into_inner);
+    executions.push(ExecutedRequest {
         target: request.target.clone(),
         instance: state.instance.borrow().clone(),
-        born: state.born.get(),
-        at: Instant::now(),
+        incarnation_started_ms: state.started_ms.get(),
+        executed_at: Instant::now(),
     });
 }
 
 /// Draws how long a request takes, from a log-normal distribution.
 fn draw_time(state: &State, target: &str) -> Duration {
-    let mut times = state.settings.times.iter();
-    let Some(time) = times.find(|time| target.starts_with(&time.path_prefix)) else {
+    let mut service_times = state.settings.service_times.iter();
+    let Some(time) = service_times.find(|time| target.starts_with(&time.path_prefix)) else {
         return Duration::ZERO;
     };
     let mut random = state.random.borrow_mut();
--- a/stand-ins/src/upstream/settings.rs
+++ b/stand-ins/src/upstream/settings.rs
@@ -7,7 +7,7 @@
 
 /// Names of the headers that an upstream reads and sends, in lower case.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct UpstreamNames {
+pub struct UpstreamHeaderNames {
     /// Identity of a request; repeated in the answer.
     pub request_id: &'static str,
     /// The run that is to run a request.
@@ -24,7 +24,7 @@
     pub warmup_left: &'static str,
 }
 
-impl UpstreamNames {
+impl UpstreamHeaderNames {
     /// The names of the users' platform.
     pub const PLATFORM: Self = Self {
         request_id: "camphorturn-request-id",
@@ -50,20 +50,20 @@
 
 /// A request that an upstream began to run.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct RanRequest {
+pub struct ExecutedRequest {
     /// Its target.
     pub target: String,
     /// Identity of the upstream's run.
     pub instance: String,
     /// When that run started, in Unix milliseconds.
-    pub born: u64,
+    pub incarnation_started_ms: u64,
     /// When it began.
-    pub at: Instant,
+    pub executed_at: Instant,
 }
 
 /// Requests that an upstream ran, in the order of their beginnings. Shared with whoever audits it, also
 /// after the upstream has gone.
-pub type RunRecord = Arc<Mutex<Vec<RanRequest>>>;
+pub type ExecutionLog = Arc<Mutex<Vec<ExecutedRequest>>>;
 
 /// How an upstream is.
 #[derive(Clone, Debug)]
@@ -71,17 +71,17 @@
     /// Identity of its first run.
     pub instance: String,
     /// Header names.
-    pub names: UpstreamNames,
+    pub names: UpstreamHeaderNames,
     /// Requests it runs at once; further ones wait.
     pub slots: u16,
     /// How long work takes; the first prefix that fits decides, and without one it takes no time.
-    pub times: Vec<ServiceTime>,
+    pub service_times: Vec<ServiceTime>,
     /// Seed of the times.
     pub seed: u64,
     /// Answers with target and body of the request in place of a fixed body.
-    pub echoes: bool,
+    pub echoes_request: bool,
     /// Takes what it ran.
-    pub runs: RunRecord,
+    pub executions: ExecutionLog,
     /// Starts of the paths of requests that crash it as soon as it runs one of them.
     pub crash_prefixes: Vec<String>,
 }
@@ -92,12 +92,12 @@
     pub fn new(instance: &str) -> Self {
         Self {
             instance: instance.to_owned(),
-            names: UpstreamNames::PLATFORM,
+            names: UpstreamHeaderNames::PLATFORM,
             slots: SLOTS,
-            times: Vec::new(),
+            service_times: Vec::new(),
             seed: 1,
-            echoes: false,
-            runs: RunRecord::default(),
+            echoes_request: false,
+            executions: ExecutionLog::default(),
             crash_prefixes: Vec::new(),
         }
     }
