--- a/src/commands/explain.rs
+++ b/src/commands/explain.rs
@@ -51,51 +51,51 @@
     let Some(collected) = source.collect_or_report()? else {
         return Ok(ExitCode::BadInput);
     };
-    let story = trace_request(&collected.read.incarnations, &arguments.request);
+    let trace = trace_request(&collected.read.incarnations, &arguments.request);
     if let Some(path) = &arguments.html {
         write_story_page(path, &collected.read.incarnations, &arguments.request)?;
     }
     if arguments.json {
-        serde_json::to_writer_pretty(&mut *out, &story)?;
+        serde_json::to_writer_pretty(&mut *out, &trace)?;
         writeln!(out)?;
     } else {
-        write_story(&story, out)?;
+        write_story(&trace, out)?;
     }
-    Ok(if story.steps.is_empty() {
+    Ok(if trace.steps.is_empty() {
         ExitCode::Failed
     } else {
         ExitCode::Success
     })
 }
 
-fn write_story(story: &RequestTrace, out: &mut dyn Write) -> io::Result<()> {
-    if story.steps.is_empty() {
-        writeln!(out, "No line tells of request {}.", story.request)?;
+fn write_story(trace: &RequestTrace, out: &mut dyn Write) -> io::Result<()> {
+    if trace.steps.is_empty() {
+        writeln!(out, "No line tells of request {}.", trace.request)?;
         return writeln!(
             out,
             "Of requests that go as they should only a sample is written, and nodes leave out lines above \
              their bounds."
         );
     }
-    let end = if story.end.is_empty() {
+    let end = if trace.end.is_empty() {
         "end not told"
     } else {
-        &story.end
+        &trace.end
     };
-    writeln!(out, "Request {}: {end}", story.request)?;
-    for cause in &story.causes {
+    writeln!(out, "Request {}: {end}", trace.request)?;
+    for cause in &trace.causes {
         writeln!(out, "  {cause}")?;
     }
     writeln!(out, "\nSteps, in milliseconds since it came:")?;
-    write_steps(&story.steps, out)?;
-    if !story.beliefs.is_empty() {
+    write_steps(&trace.steps, out)?;
+    if !trace.state_changes.is_empty() {
         writeln!(out, "\nWhat the nodes told of themselves at that time:")?;
-        write_steps(&story.beliefs, out)?;
+        write_steps(&trace.state_changes, out)?;
     }
-    if !story.calls.is_empty() {
+    if !trace.calls.is_empty() {
         writeln!(out, "\nCalls made for it:")?;
     }
-    for call in &story.calls {
+    for call in &trace.calls {
         writeln!(
             out,
             "  {} ms  {}  {}: {}",
--- a/src/log_reading/cause.rs
+++ b/src/log_reading/cause.rs
@@ -1,4 +1,5 @@
-//! Why a request ended as it did, from its lines and from what its nodes believed at that time.
+//! Explains why a request ended as it did, from its log lines and from state changes of the involved nodes at that
+//! time.
 
 use crate::{
     log_reading::{
@@ -10,12 +11,12 @@
     state::names::NodeName,
 };
 
-/// Pace from which a VM counts as slow, in percent of the usual time.
-const SLOW_PACE: u64 = 150;
-/// Times the expected time from which an upstream counts as slow by itself.
+/// Slowdown from which a VM counts as slow: duration of its work in percent of the usual duration.
+const SLOW_VM_PERCENT: u64 = 150;
+/// An upstream counts as slow if it takes more than this many times the expected duration on a VM that is not slow.
 const SLOW_FACTOR: u64 = 2;
 
-/// Sentences on the cause; none if the lines don't show it.
+/// Returns sentences that explain the outcome; empty if the lines don't show a cause.
 #[must_use]
 pub fn find_causes(lines: &RequestLines<'_>, names: &NodeNames) -> Vec<String> {
     let Some(end) = lines.end else {
@@ -33,10 +34,10 @@
             causes
         }
         RequestOutcome::Late => explain_late(end, lines, names),
-        RequestOutcome::OnTime => vec!["It was answered within its target.".to_owned()],
+        RequestOutcome::OnTime => vec!["The request was answered within its target.".to_owned()],
         RequestOutcome::ClientLeft => explain_client_left(end, lines, names),
         RequestOutcome::NoRoute => vec![format!(
-            "Configuration {} has no route for its host and path.",
+            "Configuration version {} has no route for the host and path of the request.",
             end.number("version")
         )],
         RequestOutcome::Other(_) => Vec::new(),
@@ -48,7 +49,7 @@
         return Vec::new();
     }
     vec![
-        "The node that took it did not tell of its end: it was killed before, or its line was left out."
+        "The entry node did not log the end of the request: the node was killed before, or suppressed the line."
             .to_owned(),
     ]
 }
@@ -61,8 +62,8 @@
 ) -> Vec<String> {
     let mut causes = match reason {
         "queue_full" | "deadline_too_short" | "deadline_passed" => explain_no_slot(end, lines),
-        "draining" if has_belief(lines, event_numbers::STOP_REQUESTED, &end.node) => vec![format!(
-            "{} was stopping and took no further requests.",
+        "draining" if has_state_change(lines, event_numbers::STOP_REQUESTED, &end.node) => vec![format!(
+            "{} was stopping and accepted no further requests.",
             end.node
         )],
         "draining" => vec!["The upstreams that were asked were leaving.".to_owned()],
@@ -74,11 +75,11 @@
             vec![format!("{} knew no configuration yet.", end.node)]
         }
         "configuration_behind" => vec![format!(
-            "{} had no route for it and had heard of a newer configuration, which it did not have yet.",
+            "{} had no route for the request and had learned of a newer configuration, which it had not received yet.",
             end.node
         )],
         "configuration_overdue" => vec![format!(
-            "{} had been told of a newer configuration long before and could not fetch it.",
+            "{} had learned of a newer configuration long before and could not fetch it.",
             end.node
         )],
         "no_upstream" => vec![format!(
@@ -86,23 +87,23 @@
             end.node
         )],
         "upstream_down" => vec![
-            "The nodes that were asked knew no upstream beside them, or could not connect to it."
+            "The nodes that were asked knew no local upstream, or could not connect to it."
                 .to_owned(),
         ],
         "upstream_shed" => {
             vec![
-                "The upstream said that it had not run it, and no other was left to ask."
+                "The upstream reported that it had not executed the request, and no other was left to ask."
                     .to_owned(),
             ]
         }
         "repeats_spent" => vec![
-            "It was to be repeated, and the calls that its run makes again were not within the budget \
-             of repeats."
+            "A retry was needed, but the calls that it would have made again were not within the retry \
+             budget."
                 .to_owned(),
         ],
         "quarantined" => vec![
-            "Upstreams that ran a request for the same thing have crashed, so it is kept from all of them for a \
-             while."
+            "Upstreams crashed while they executed a request with the same fingerprint, so such requests are \
+             quarantined."
                 .to_owned(),
         ],
         "not_sent" => {
@@ -111,18 +112,18 @@
         _ => Vec::new(),
     };
     causes.extend(list_unreachable(lines, names));
-    causes.extend(list_beliefs(lines));
-    causes.extend(list_places(lines));
+    causes.extend(list_state_changes(lines));
+    causes.extend(list_capacity_changes(lines));
     causes
 }
 
-/// The service was short of slots: where, and why.
+/// Explains a refusal because no slot was free in time: the nodes asked, and which of them were slow.
 fn explain_no_slot(end: &LogLine, lines: &RequestLines<'_>) -> Vec<String> {
     let soonest = find_soonest(lines);
     let mut causes = vec![match soonest {
         Some(soonest) => format!(
-            "None of the {} nodes asked had a slot in time: the soonest end was {soonest} ms away, the \
-             target {} ms.",
+            "None of the {} nodes asked had a slot in time: the earliest predicted completion was \
+             {soonest} ms away, the target {} ms.",
             end.number("asked"),
             end.number("target_ms")
         ),
@@ -147,72 +148,72 @@
         match line.end() {
             EndField::Unknown("node_lost") => causes.push(explain_lost_node(node, lines)),
             EndField::Unknown("upstream_cut") => causes.push(format!(
-                "The upstream beside {node} closed the connection without an answer{}.",
-                name_instance(line, lines)
+                "The local upstream of {node} closed the connection without an answer{}.",
+                format_incarnation(line, lines)
             )),
             EndField::Unknown("upstream_crashed") => causes.push(format!(
-                "The upstream beside {node} ended while it ran it{}.",
-                name_instance(line, lines)
+                "The local upstream of {node} crashed while it executed the request{}.",
+                format_incarnation(line, lines)
             )),
             EndField::Unknown("bad_answer") => causes.push(format!(
-                "The answer of the upstream beside {node} was malformed, cut short, unsigned or another \
-                 request's{}.",
-                name_instance(line, lines)
+                "The answer of the local upstream of {node} was malformed, truncated, unsigned or for another \
+                 request{}.",
+                format_incarnation(line, lines)
             )),
             _ => {}
         }
     }
     if cause == "deadline_passed" {
         causes.push(format!(
-            "No answer came within the {} ms that the client left.",
+            "No answer arrived within the {} ms that the client allowed.",
             end.number("time_left_ms")
         ));
         causes.extend(explain_slowest(lines, names));
     }
     causes.extend(list_unreachable(lines, names));
-    causes.extend(list_beliefs(lines));
+    causes.extend(list_state_changes(lines));
     causes
 }
 
 fn explain_lost_node(node: &str, lines: &RequestLines<'_>) -> String {
     let ended = lines
-        .beliefs
+        .state_changes
         .iter()
-        .find(|belief| belief.line.node.as_str() == node && tells_of_end(&belief.line));
+        .find(|change| change.line.node.as_str() == node && reports_process_end(&change.line));
     match ended {
-        Some(belief) if belief.line.number == event_numbers::NODE_STARTED => format!(
-            "{node} was started anew at that time: its former process was killed or lost power with the \
-             request under way."
+        Some(change) if change.line.number == event_numbers::NODE_STARTED => format!(
+            "{node} was restarted at that time: its previous process was killed or lost power while the \
+             request was in progress."
         ),
         Some(_) => format!("{node} was stopping at that time."),
         None => format!(
-            "The connection to {node} broke after the request was sent; its own lines tell of no end of \
+            "The connection to {node} broke after the request was sent; its own log shows no end of \
              its process."
         ),
     }
 }
 
-fn tells_of_end(line: &LogLine) -> bool {
+fn reports_process_end(line: &LogLine) -> bool {
     matches!(
         line.number,
         event_numbers::NODE_STARTED | event_numbers::STOP_REQUESTED | event_numbers::NODE_STOPPED
     )
 }
 
-/// The run of the upstream, if the node beside it told of the attempt.
-fn name_instance(returned: &LogLine, lines: &RequestLines<'_>) -> String {
+/// Returns the id of the upstream's incarnation in parentheses; empty if the executing node didn't log the attempt.
+fn format_incarnation(returned: &LogLine, lines: &RequestLines<'_>) -> String {
     let executed = lines
         .executed
         .iter()
         .find(|executed| executed.end() == returned.end());
     executed
-        .map(|executed| format!(" (run {})", executed.text("instance")))
+        .map(|executed| format!(" (incarnation {})", executed.text("instance")))
         .unwrap_or_default()
 }
 
 fn explain_late(end: &LogLine, lines: &RequestLines<'_>, names: &NodeNames) -> Vec<String> {
     let mut causes = vec![format!(
-        "It was answered {} ms after its target.",
+        "The request was answered {} ms after its target.",
         end.number("took_ms")
             .saturating_sub(end.number("target_ms"))
     )];
@@ -221,56 +222,61 @@
         causes.push(format!("{} upstreams were tried.", end.number("arrivals")));
     }
     causes.extend(list_unreachable(lines, names));
-    causes.extend(list_places(lines));
+    causes.extend(list_capacity_changes(lines));
     causes
 }
 
-/// Where the time of the slowest attempt went.
+/// Explains what the slowest attempt spent its time on.
 fn explain_slowest(lines: &RequestLines<'_>, names: &NodeNames) -> Vec<String> {
     let Some(slowest) = lines.find_slowest(names) else {
         return Vec::new();
     };
     let (node, took) = (slowest.node, slowest.took_ms);
     let mut causes = vec![if slowest.is_abandoned() && slowest.executed.is_none() {
-        format!("{node} had not answered {took} ms after it was asked, and tells nothing of it.")
+        format!(
+            "{node} had not answered {took} ms after the request was sent to it, and did not log the attempt."
+        )
     } else {
         format!(
-            "At {node} it waited {} ms for a slot and ran for {} ms.",
+            "At {node} the request waited {} ms for a slot and ran for {} ms.",
             slowest.waited_ms,
             slowest.ran_ms()
         )
     }];
-    let pace = slowest.returned.number("pace_percent");
+    let slowdown = slowest.returned.number("pace_percent");
     if let Some(executed) = slowest.executed {
         causes.extend(describe_slow(executed));
-    } else if pace >= SLOW_PACE {
+    } else if slowdown >= SLOW_VM_PERCENT {
         causes.push(format!(
-            "The VM of {node} worked at {pace}% of the usual time."
+            "The VM of {node} was slow: work took {slowdown}% of its usual time."
         ));
     }
     causes.extend(explain_shortage(lines));
     causes
 }
 
-/// Nodes that had no slot in time before one was found to wait at.
+/// Reports how many slot requests were refused before a node accepted one.
 fn explain_shortage(lines: &RequestLines<'_>) -> Option<String> {
     let soonest = find_soonest(lines)?;
     let refused = lines.end?.number("asked").saturating_sub(1);
     Some(format!(
-        "{refused} questions for a slot were refused before; the soonest end told was {soonest} ms away."
+        "{refused} slot requests were refused before; the earliest predicted completion was {soonest} ms away."
     ))
 }
 
-/// The soonest end that a node told which had no slot in time.
+/// Returns the earliest completion that a node without a slot in time predicted, in milliseconds from its refusal.
 fn find_soonest(lines: &RequestLines<'_>) -> Option<u64> {
-    let finishes = lines.returned.iter().map(|line| line.number("finish_ms"));
-    let summed = lines.end.map(|end| end.number("soonest_ms"));
-    finishes.chain(summed).filter(|finish| *finish > 0).min()
+    let predictions = lines.returned.iter().map(|line| line.number("finish_ms"));
+    let logged_minimum = lines.end.map(|end| end.number("soonest_ms"));
+    predictions
+        .chain(logged_minimum)
+        .filter(|finish| *finish > 0)
+        .min()
 }
 
 fn explain_client_left(end: &LogLine, lines: &RequestLines<'_>, names: &NodeNames) -> Vec<String> {
     let mut causes = vec![format!(
-        "The client closed its connection after {} ms, with {} ms given and a target of {} ms.",
+        "The client closed its connection after {} ms; it had allowed {} ms, and the target was {} ms.",
         end.number("took_ms"),
         end.number("time_left_ms"),
         end.number("target_ms")
@@ -281,10 +287,10 @@
 }
 
 fn describe_slow(line: &LogLine) -> Option<String> {
-    let pace = line.number("pace_percent");
-    if pace >= SLOW_PACE {
+    let slowdown = line.number("pace_percent");
+    if slowdown >= SLOW_VM_PERCENT {
         return Some(format!(
-            "The VM of {} worked at {pace}% of the usual time.",
+            "The VM of {} was slow: work took {slowdown}% of its usual time.",
             line.node
         ));
     }
@@ -294,17 +300,17 @@
     let expected = line.number("expected_ms");
     (expected > 0 && ran > expected * SLOW_FACTOR).then(|| {
         format!(
-            "The upstream beside {} took {ran} ms for what takes {expected} ms usually.",
+            "The local upstream of {} took {ran} ms for work that usually takes {expected} ms.",
             line.node
         )
     })
 }
 
-fn has_belief(lines: &RequestLines<'_>, number: u16, node: &NodeName) -> bool {
+fn has_state_change(lines: &RequestLines<'_>, number: u16, node: &NodeName) -> bool {
     lines
-        .beliefs
+        .state_changes
         .iter()
-        .any(|belief| belief.line.number == number && belief.line.node == *node)
+        .any(|change| change.line.number == number && change.line.node == *node)
 }
 
 fn list_unreachable(lines: &RequestLines<'_>, names: &NodeNames) -> Vec<String> {
@@ -324,13 +330,14 @@
     )]
 }
 
-/// Cold upstreams and evacuated zones, which leave less room for requests.
-fn list_places(lines: &RequestLines<'_>) -> Vec<String> {
-    let told = lines.beliefs.iter().filter_map(|belief| {
-        let line = &belief.line;
+/// Lists upstreams that were warming up and zones that were evacuated or restored: these change the capacity of the
+/// service.
+fn list_capacity_changes(lines: &RequestLines<'_>) -> Vec<String> {
+    let sentences = lines.state_changes.iter().filter_map(|change| {
+        let line = &change.line;
         match line.number {
             event_numbers::UPSTREAM_WARMING_UP => Some(format!(
-                "The upstream beside {} was cold and was given at most {} requests a second.",
+                "The local upstream of {} was warming up and received at most {} requests a second.",
                 line.node,
                 line.number("limit")
             )),
@@ -339,34 +346,36 @@
                 line.text("zone")
             )),
             event_numbers::ZONE_RESTORED => Some(format!(
-                "The availability zone {} was taken back at that time.",
+                "The availability zone {} was restored at that time.",
                 line.text("zone")
             )),
             _ => None,
         }
     });
-    let mut told: Vec<String> = told.collect();
-    told.sort();
-    told.dedup();
-    told
+    let mut sentences: Vec<String> = sentences.collect();
+    sentences.sort();
+    sentences.dedup();
+    sentences
 }
 
-/// Changes at the upstreams and the store that a refusal may come from.
-fn list_beliefs(lines: &RequestLines<'_>) -> Vec<String> {
-    let told = lines.beliefs.iter().filter_map(|belief| {
-        let line = &belief.line;
+/// Lists changes of local upstreams and of the connection to the store that may have led to a refusal.
+fn list_state_changes(lines: &RequestLines<'_>) -> Vec<String> {
+    let sentences = lines.state_changes.iter().filter_map(|change| {
+        let line = &change.line;
         let what = match line.name.as_str() {
-            "upstream_announced" if line.is_set("leaving") => "was told that its upstream leaves",
-            "upstream_departed" => "was told that its upstream is gone",
-            "upstream_replaced" => "found another run in place of its upstream",
-            "upstream_announced" => "was told of a new run of its upstream",
-            "store_lost" => "lost the store",
+            "upstream_announced" if line.is_set("leaving") => {
+                "learned that its upstream was leaving"
+            }
+            "upstream_departed" => "learned that its upstream had departed",
+            "upstream_replaced" => "found another incarnation in place of its upstream",
+            "upstream_announced" => "learned of a new incarnation of its upstream",
+            "store_lost" => "lost its connection to the store",
             _ => return None,
         };
         Some(format!("{} {what} at that time.", line.node))
     });
-    let mut told: Vec<String> = told.collect();
-    told.sort();
-    told.dedup();
-    told
+    let mut sentences: Vec<String> = sentences.collect();
+    sentences.sort();
+    sentences.dedup();
+    sentences
 }
--- a/src/log_reading/description.rs
+++ b/src/log_reading/description.rs
@@ -1,4 +1,4 @@
-//! What a line says, in one sentence.
+//! Describes a log line in one sentence.
 
 use crate::log_reading::{
     incarnations::NodeIncarnation,
@@ -8,12 +8,12 @@
 use serde_json::Value;
 use std::{collections::HashMap, fmt::Write};
 
-/// Names of nodes by the text of their address, for sentences.
+/// Names of nodes by address, for use in sentences.
 #[derive(Clone, Debug, Default)]
 pub struct NodeNames(HashMap<String, String>);
 
 impl NodeNames {
-    /// The names that the lines tell.
+    /// Collects the names and addresses that appear in the lines.
     #[must_use]
     pub fn collect(incarnations: &[NodeIncarnation]) -> Self {
         let addresses = find_addresses(incarnations).into_iter();
@@ -24,14 +24,14 @@
         )
     }
 
-    /// The name of the node at that address, or the address.
+    /// Returns the name of the node at an address, or the address itself if the name is not known.
     #[must_use]
     pub fn find<'a>(&'a self, address: &'a str) -> &'a str {
         self.0.get(address).map_or(address, String::as_str)
     }
 }
 
-/// The sentence for a line.
+/// Describes a line in one sentence.
 #[must_use]
 pub fn describe_line(line: &LogLine, names: &NodeNames) -> String {
     match line.number {
@@ -39,7 +39,7 @@
         event_numbers::ATTEMPT_RETURNED => describe_returned(line, names),
         event_numbers::ATTEMPT_EXECUTED => describe_executed(line, names),
         event_numbers::NODE_UNREACHABLE => format!(
-            "could not reach {}, {} times in a row; asks it again after {} ms",
+            "could not reach {}, {} times in a row; retries after {} ms",
             names.find(line.text("to")),
             line.number("failures"),
             line.number("pause_ms")
@@ -62,8 +62,8 @@
 
 fn describe_request(line: &LogLine) -> String {
     format!(
-        "request of class {} ended after {} ms (target {} ms, {} ms were left): {}; {} nodes asked, {} \
-         upstreams reached, configuration {}",
+        "request of class {} ended after {} ms (target {} ms, {} ms allowed): {}; {} nodes asked, {} \
+         upstreams reached, configuration version {}",
         or_none(line.text("class")),
         line.number("took_ms"),
         line.number("target_ms"),
@@ -78,14 +78,14 @@
 fn describe_returned(line: &LogLine, names: &NodeNames) -> String {
     let within = match line.number("within_ms") {
         0 => "a slot at once".to_owned(),
-        within => format!("an end within {within} ms"),
+        within => format!("completion within {within} ms"),
     };
-    let knowledge = match line.find_number("known_age_ms") {
-        Some(age) => format!("its load known {age} ms ago"),
-        None => "its load not known".to_owned(),
+    let load = match line.find_number("known_age_ms") {
+        Some(age) => format!("its load reported {age} ms ago"),
+        None => "its load unknown".to_owned(),
     };
     let mut text = format!(
-        "asked {} for {within} ({knowledge}), after {} ms: {}",
+        "asked {} for {within} ({load}), after {} ms: {}",
         names.find(line.text("to")),
         line.number("took_ms"),
         line.end().describe()
@@ -93,24 +93,27 @@
     let waited = line.number("waited_ms");
     if waited > 0 {
         // Writing to a string never fails.
-        let _ = write!(text, "; {waited} ms of that it waited for a slot");
+        let _ = write!(text, "; {waited} ms of that waiting for a slot");
     }
     let finish = line.number("finish_ms");
     if finish > 0 {
         // Writing to a string never fails.
-        let _ = write!(text, "; there it would have ended after {finish} ms");
+        let _ = write!(text, "; completion there predicted after {finish} ms");
     }
     text
 }
 
 fn describe_executed(line: &LogLine, names: &NodeNames) -> String {
-    let pace = match line.find_number("pace_age_ms") {
-        Some(age) => format!("pace {}% told {age} ms ago", line.number("pace_percent")),
-        None => "pace not told".to_owned(),
+    let slowdown = match line.find_number("pace_age_ms") {
+        Some(age) => format!(
+            "slowdown {}% reported {age} ms ago",
+            line.number("pace_percent")
+        ),
+        None => "slowdown unknown".to_owned(),
     };
     format!(
-        "asked by {}: {} of {} running, {} waiting, {pace}; waited {} ms, took {} ms of {} ms expected at \
-         upstream {}: {}",
+        "attempt from {}: {} of {} slots in use, {} queued, {slowdown}; waited {} ms, ran {} ms ({} ms expected) \
+         at upstream {}: {}",
         names.find(line.text("from")),
         line.number("running"),
         line.number("limit"),
@@ -124,7 +127,7 @@
     )
 }
 
-/// Name and members, as they stand.
+/// Lists the name of the event and its fields.
 fn describe_other(line: &LogLine) -> String {
     let mut text = line.name.replace('_', " ");
     for (name, value) in &line.fields {
--- a/src/log_reading/misses.rs
+++ b/src/log_reading/misses.rs
@@ -1,4 +1,4 @@
-//! Which requests were not served on time, when and why.
+//! Reports which requests were not served on time, when and why.
 
 pub mod breakdown;
 pub mod kind;
@@ -22,45 +22,45 @@
     time::{Duration, UNIX_EPOCH},
 };
 
-/// The last second that a date with four digits of the year can tell, in milliseconds since the Unix epoch. A
-/// damaged line may tell a later time, which could not be written.
-const LATEST_MS: f64 = 253_402_300_799_000.0;
+/// Last second of the year 9999, in milliseconds since the Unix epoch. A damaged line may hold a later time, which
+/// could not be formatted with a year of four digits.
+const MAX_TIME_MS: f64 = 253_402_300_799_000.0;
 
-/// Requests by class, window of time and cause.
+/// Requests by class, time window and cause.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct MissReport {
-    /// How long a window is.
+    /// Length of a window in milliseconds.
     pub window_ms: u64,
-    /// What part of the requests lines tell of.
+    /// Sampling rates with which nodes log requests.
     pub sampling: Sampling,
-    /// Requests whose end was not told, though the node beside an upstream tells of an attempt.
+    /// Requests for which an executing node logged an attempt, but no entry node logged the end.
     pub without_end: usize,
-    /// Telling lines that nodes left out to keep to their bounds. NB: ordinary ones are left out uncounted.
+    /// Important lines that nodes suppressed because of their rate limits. Suppressed ordinary lines are not counted.
     pub dropped_lines: u64,
-    /// Lines that a node wrote and the input lacks, by the gaps in their numbers.
+    /// Lines that nodes wrote and the input lacks, computed from gaps in their sequence numbers.
     pub missing_lines: u64,
-    /// All of them.
+    /// All requests.
     pub total: Breakdown,
-    /// By class; a request without a route has none.
+    /// Requests by class; the class is empty for a request without a route.
     pub classes: BTreeMap<String, Breakdown>,
-    /// By the time that they came, the worst share on time first.
+    /// Requests by arrival time, the window with the lowest on-time share first.
     pub windows: Vec<MissWindow>,
 }
 
-/// The requests that came in one span of time.
+/// The requests that arrived in one time window.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct MissWindow {
-    /// When it begins, on the common clock of all nodes.
+    /// Start of the window on the common clock of all nodes, as an RFC 3339 timestamp.
     pub from: String,
-    /// Telling lines that nodes said in it that they had left out.
+    /// Important lines that nodes reported as suppressed during the window.
     pub dropped_lines: u64,
-    /// All classes.
+    /// Requests of all classes.
     pub total: Breakdown,
-    /// By class.
+    /// Requests by class.
     pub classes: BTreeMap<String, Breakdown>,
 }
 
-/// Counts while lines are read.
+/// Counts that are accumulated while lines are read.
 #[derive(Default)]
 struct WindowCounts {
     dropped: u64,
@@ -75,7 +75,7 @@
     }
 }
 
-/// Breaks the requests of all runs down.
+/// Reports on the requests in the lines of all incarnations.
 #[must_use]
 pub fn report_misses(
     incarnations: &[NodeIncarnation],
@@ -88,13 +88,13 @@
     let mut all = WindowCounts::default();
     let mut windows: BTreeMap<u64, WindowCounts> = BTreeMap::new();
     for EndedRequest {
-        came_ms,
+        arrived_ms,
         class,
         kind,
     } in &requests.ended
     {
         all.add(class, kind);
-        let number = find_window(*came_ms, window);
+        let number = find_window(*arrived_ms, window);
         windows.entry(number).or_default().add(class, kind);
     }
     for (at_ms, dropped) in ordered.iter().filter_map(read_dropped) {
@@ -105,7 +105,7 @@
     }
     let mut windows: Vec<MissWindow> = windows
         .into_iter()
-        .map(|(number, counts)| close_window(number, window, counts, sampling))
+        .map(|(number, counts)| build_window(number, window, counts, sampling))
         .collect();
     windows.sort_by(compare_windows);
     MissReport {
@@ -117,13 +117,13 @@
             .iter()
             .map(count_gaps)
             .fold(0, u64::saturating_add),
-        total: all.total.close(sampling),
-        classes: close_classes(all.classes, sampling),
+        total: all.total.into_breakdown(sampling),
+        classes: build_breakdowns(all.classes, sampling),
         windows,
     }
 }
 
-fn close_window(
+fn build_window(
     number: u64,
     window: Duration,
     counts: WindowCounts,
@@ -134,23 +134,23 @@
     MissWindow {
         from: humantime::format_rfc3339_millis(from).to_string(),
         dropped_lines: counts.dropped,
-        total: counts.total.close(sampling),
-        classes: close_classes(counts.classes, sampling),
+        total: counts.total.into_breakdown(sampling),
+        classes: build_breakdowns(counts.classes, sampling),
     }
 }
 
-fn close_classes(
+fn build_breakdowns(
     classes: BTreeMap<String, Counts>,
     sampling: Sampling,
 ) -> BTreeMap<String, Breakdown> {
     let classes = classes.into_iter();
     classes
-        .map(|(class, counts)| (class, counts.close(sampling)))
+        .map(|(class, counts)| (class, counts.into_breakdown(sampling)))
         .collect()
 }
 
-/// The worst share first, of equal shares that with more misses, then the earlier. Windows without a share
-/// come last.
+/// Orders windows by on-time share, the lowest first; for equal shares the one with more misses, then the earlier
+/// one, comes first. Windows without a share come last.
 fn compare_windows(one: &MissWindow, other: &MissWindow) -> Ordering {
     let share = |window: &MissWindow| window.total.on_time_share_estimate.unwrap_or(f64::INFINITY);
     let by_share = share(one).total_cmp(&share(other));
@@ -164,7 +164,7 @@
         .then(|| (timed.at_ms, timed.line.number("lines")))
 }
 
-/// Lines that lie between two lines of a run by their numbers.
+/// Counts the lines that are missing between the lines of an incarnation, by their sequence numbers.
 fn count_gaps(incarnation: &NodeIncarnation) -> u64 {
     let pairs = incarnation.lines.windows(2);
     let gap = |one: &LogLine, next: &LogLine| next.seq.saturating_sub(one.seq).saturating_sub(1);
@@ -173,17 +173,18 @@
         .fold(0, u64::saturating_add)
 }
 
-/// Windows begin at whole multiples of their length, so that those of two reports can be compared.
+/// Returns the index of the window. Windows begin at whole multiples of their length, so that windows of two reports
+/// can be compared.
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
     reason = "whole milliseconds since the Unix epoch, never before it"
 )]
 fn find_window(at_ms: f64, window: Duration) -> u64 {
-    at_ms.clamp(0.0, LATEST_MS) as u64 / to_millis(window)
+    at_ms.clamp(0.0, MAX_TIME_MS) as u64 / to_millis(window)
 }
 
-/// At least one, since it divides.
+/// Converts to milliseconds; at least 1, since it is used as a divisor.
 fn to_millis(window: Duration) -> u64 {
     u64::try_from(window.as_millis()).unwrap_or(u64::MAX).max(1)
 }
--- a/src/log_reading/misses/breakdown.rs
+++ b/src/log_reading/misses/breakdown.rs
@@ -1,80 +1,80 @@
-//! Counts of ends, with how far each is a sample.
+//! Counts of requests by outcome, and estimates from samples.
 
-use crate::log_reading::misses::kind::{MissKind, Served, Written};
+use crate::log_reading::misses::kind::{MissKind, SamplingRule, Served};
 use serde::Serialize;
 use std::{cmp::Reverse, collections::BTreeMap};
 
-/// Standard deviations of a sampled number that a range covers on both sides; it then holds the true one about
-/// 19 times of 20.
-const DEVIATIONS: f64 = 2.0;
+/// Half width of a range, in standard deviations of the sampled number. The range then contains the true number in
+/// about 19 of 20 cases.
+const RANGE_DEVIATIONS: f64 = 2.0;
 
-/// Of how many requests one is written.
+/// Sampling rates of the log: one in so many requests is logged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub struct Sampling {
-    /// Of those that go as they should, without a route, or left by their client.
+    /// For requests that were answered on time, had no route, or whose client disconnected.
     pub ordinary_one_in: u64,
-    /// Of late ones.
+    /// For late requests.
     pub late_one_in: u64,
 }
 
 impl Sampling {
-    /// Of how many requests that ended like this one is written.
+    /// Returns of how many requests of this kind one is logged.
     #[must_use]
     pub const fn one_in(&self, kind: &MissKind) -> u64 {
-        match kind.written() {
-            Written::Ordinary => self.ordinary_one_in,
-            Written::Late => self.late_one_in,
-            Written::Always => 1,
+        match kind.sampling_rule() {
+            SamplingRule::Ordinary => self.ordinary_one_in,
+            SamplingRule::Late => self.late_one_in,
+            SamplingRule::Always => 1,
         }
     }
 }
 
-/// Lines on requests that ended the same way.
+/// Logged requests with the same outcome and cause.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct KindCount {
-    /// The end.
+    /// Outcome, as one word.
     pub outcome: &'static str,
-    /// Why; empty if the end says it.
+    /// Cause in words; empty if the outcome implies it.
     pub cause: String,
-    /// Of a refusal, whether any node was asked.
+    /// For a refusal: whether any node was asked for a slot.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub nodes_asked: Option<bool>,
-    /// Lines there are. NB: a sample unless `one_in` is 1.
+    /// Number of logged requests. This is a sample unless `one_in` is 1.
     pub lines: u64,
-    /// Of how many requests one has a line.
+    /// Sampling rate: one in so many requests is logged.
     pub one_in: u64,
-    /// Requests that so many lines stand for.
+    /// Estimated number of requests: `lines` times `one_in`.
     pub estimate: u64,
 }
 
-/// Requests by end and cause.
+/// Requests by outcome and cause.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Breakdown {
-    /// Lines on ends.
+    /// Number of logged requests.
     pub lines: u64,
-    /// Of these, on requests that were not served on time.
+    /// Number of logged requests that were not served on time.
     pub missed_lines: u64,
-    /// Share on time, with each line counted for the requests that it stands for; none without such lines.
+    /// Estimated share of requests that were served on time; none without requests that count in it.
     pub on_time_share_estimate: Option<f64>,
-    /// Least and greatest share that the size of the sample speaks for. NB: lines left out are not in it.
+    /// Lower and upper limit of that share, from the size of the sample. Suppressed lines are not taken into account.
     pub on_time_share_range: Option<(f64, f64)>,
-    /// The most lines first.
+    /// Outcomes and causes, the one with the most logged requests first.
     pub kinds: Vec<KindCount>,
 }
 
-/// Lines by kind.
+/// Number of logged requests by kind.
 #[derive(Clone, Debug, Default)]
 pub struct Counts(BTreeMap<MissKind, u64>);
 
 impl Counts {
-    /// Counts a line.
+    /// Counts one logged request.
     pub fn add(&mut self, kind: &MissKind) {
         *self.0.entry(kind.clone()).or_default() += 1;
     }
 
-    /// What was counted.
+    /// Converts the counts to a breakdown, with estimates for the given sampling rates.
     #[must_use]
-    pub fn close(self, sampling: Sampling) -> Breakdown {
+    pub fn into_breakdown(self, sampling: Sampling) -> Breakdown {
         let mut breakdown = Breakdown::default();
         let (mut on_time, mut missed) = (Estimate::default(), Estimate::default());
         for (kind, lines) in self.0 {
@@ -86,29 +86,33 @@
                     missed.add(lines, one_in);
                     breakdown.missed_lines += lines;
                 }
-                Served::LeftOut => {}
+                Served::Excluded => {}
             }
-            breakdown.kinds.push(describe(&kind, lines, one_in));
+            breakdown.kinds.push(build_count(&kind, lines, one_in));
         }
         breakdown.kinds.sort_by_key(|kind| Reverse(kind.lines));
         if on_time.requests + missed.requests > 0.0 {
-            // A sample without a line on any request on time doesn't show that there was none.
-            on_time.allow_unseen(sampling.ordinary_one_in);
-            missed.allow_unseen(sampling.late_one_in);
-            breakdown.on_time_share_estimate = Some(divide(on_time.requests, missed.requests));
-            let least = divide(on_time.least(), missed.most());
-            breakdown.on_time_share_range = Some((least, divide(on_time.most(), missed.least())));
+            // A sample that holds no request on time doesn't show that there was none.
+            on_time.widen_for_unseen(sampling.ordinary_one_in);
+            missed.widen_for_unseen(sampling.late_one_in);
+            breakdown.on_time_share_estimate =
+                Some(compute_share(on_time.requests, missed.requests));
+            let lower_limit = compute_share(on_time.lower_limit(), missed.upper_limit());
+            breakdown.on_time_share_range = Some((
+                lower_limit,
+                compute_share(on_time.upper_limit(), missed.lower_limit()),
+            ));
         }
         breakdown
     }
 }
 
-fn describe(kind: &MissKind, lines: u64, one_in: u64) -> KindCount {
+fn build_count(kind: &MissKind, lines: u64, one_in: u64) -> KindCount {
     KindCount {
         outcome: kind.outcome(),
         cause: kind.cause(),
         nodes_asked: match kind {
-            MissKind::Refused { asked, .. } => Some(*asked),
+            MissKind::Refused { nodes_asked, .. } => Some(*nodes_asked),
             _ => None,
         },
         lines,
@@ -117,7 +121,7 @@
     }
 }
 
-/// How many requests a number of lines stands for.
+/// Estimated number of requests, with its variance.
 #[derive(Clone, Copy, Debug, Default)]
 struct Estimate {
     requests: f64,
@@ -125,30 +129,31 @@
 }
 
 impl Estimate {
-    /// Of a sample of one in N, the number of lines varies by its root, and each stands for N requests.
+    /// Adds a sample of one in N. The number of lines in it has a standard deviation of about its square root, and each
+    /// line represents N requests.
     fn add(&mut self, lines: u64, one_in: u64) {
         let (lines, one_in) = (as_float(lines), as_float(one_in));
         self.requests += lines * one_in;
         self.variance += lines * one_in * (one_in - 1.0);
     }
 
-    /// Adds to the range, though not to the estimate, what one line more would have stood for.
-    fn allow_unseen(&mut self, one_in: u64) {
+    /// Widens the range, but doesn't change the estimate, by the requests that one more line would represent.
+    fn widen_for_unseen(&mut self, one_in: u64) {
         let one_in = as_float(one_in);
         self.variance += one_in * (one_in - 1.0);
     }
 
-    fn least(&self) -> f64 {
-        (self.requests - DEVIATIONS * self.variance.sqrt()).max(0.0)
+    fn lower_limit(&self) -> f64 {
+        (self.requests - RANGE_DEVIATIONS * self.variance.sqrt()).max(0.0)
     }
 
-    fn most(&self) -> f64 {
-        self.requests + DEVIATIONS * self.variance.sqrt()
+    fn upper_limit(&self) -> f64 {
+        self.requests + RANGE_DEVIATIONS * self.variance.sqrt()
     }
 }
 
-/// Share of a part in itself and the rest; 0 of nothing.
-fn divide(part: f64, rest: f64) -> f64 {
+/// Share of a part in the sum of the part and the rest; 0 if both are 0.
+fn compute_share(part: f64, rest: f64) -> f64 {
     let whole = part + rest;
     if whole > 0.0 { part / whole } else { 0.0 }
 }
--- a/src/log_reading/misses/kind.rs
+++ b/src/log_reading/misses/kind.rs
@@ -1,65 +1,66 @@
-//! Kinds of ends, with the cause of each.
+//! Kinds of outcomes, each with its cause.
 
 use crate::log_reading::{
     description::NodeNames, late_cause::LateCause, line::LogLine, outcome::RequestOutcome,
     request_lines::RequestLines,
 };
 
-/// How a request ended and why.
+/// Outcome of a request and its cause.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum MissKind {
-    /// Answered within its target.
+    /// Answered within the latency target.
     OnTime,
-    /// Answered after it.
+    /// Answered after the latency target.
     Late(LateCause),
-    /// Not run.
+    /// Not executed.
     Refused {
-        /// Why.
+        /// Reason, as written in the log.
         reason: String,
         /// Whether any node was asked for a slot.
-        asked: bool,
+        nodes_asked: bool,
     },
-    /// It can't be told whether it ran.
+    /// Unknown whether it was executed, for this cause.
     Unknown(String),
-    /// Answered by the upstream with a status of a failure.
+    /// The upstream answered with this status, which reports a failure.
     UpstreamFailed(u64),
-    /// The configuration has no route for it.
+    /// The configuration has no route for the request.
     NoRoute,
-    /// The client went away.
+    /// The client disconnected.
     ClientLeft {
-        /// Whether its target had passed by then.
+        /// Whether the latency target had passed by then.
         after_target: bool,
     },
-    /// The line on its end could not be understood.
+    /// The log line on the end of the request has an unknown outcome or lacks the times.
     NotUnderstood(String),
 }
 
-/// What an end counts as in a share on time.
+/// What a request counts as in the on-time share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Served {
-    /// On time.
+    /// Served on time.
     OnTime,
-    /// Not on time.
+    /// Not served on time.
     Missed,
-    /// Neither: there was nothing to be on time with.
-    LeftOut,
+    /// Not counted: whether it was on time can't be judged.
+    Excluded,
 }
 
-/// How often a line on such an end is written.
+/// Which sampling rate the log applies to a kind of request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Written {
-    /// As of requests that go as they should.
+pub enum SamplingRule {
+    /// Sampled like requests that ended normally.
     Ordinary,
-    /// As of late requests.
+    /// Sampled like late requests.
     Late,
-    /// Always, within the bounds of the node.
+    /// Always logged, within the rate limit of the node.
     Always,
 }
 
 impl MissKind {
-    /// The kind of a request with an end.
+    /// Determines the kind of a request from its log lines. `call_ms` is the duration of the slowest call that the
+    /// upstream made for it; none if it made no call.
     #[must_use]
-    pub fn find(
+    pub fn determine(
         end: &LogLine,
         lines: &RequestLines<'_>,
         names: &NodeNames,
@@ -67,10 +68,10 @@
     ) -> Self {
         match RequestOutcome::classify(end) {
             RequestOutcome::OnTime => Self::OnTime,
-            RequestOutcome::Late => Self::Late(LateCause::find(lines, names, call_ms)),
+            RequestOutcome::Late => Self::Late(LateCause::determine(lines, names, call_ms)),
             RequestOutcome::Refused(reason) => Self::Refused {
                 reason: reason.to_owned(),
-                asked: end.number("asked") > 0,
+                nodes_asked: end.number("asked") > 0,
             },
             RequestOutcome::Unknown(cause) => Self::Unknown(cause.to_owned()),
             RequestOutcome::UpstreamFailed(status) => Self::UpstreamFailed(status),
@@ -82,7 +83,7 @@
         }
     }
 
-    /// What it counts as.
+    /// What the request counts as in the on-time share.
     #[must_use]
     pub const fn served(&self) -> Served {
         match self {
@@ -91,22 +92,22 @@
             | Self::NotUnderstood(_)
             | Self::ClientLeft {
                 after_target: false,
-            } => Served::LeftOut,
+            } => Served::Excluded,
             _ => Served::Missed,
         }
     }
 
-    /// How often a line on it is written.
+    /// Which sampling rate applies to the request.
     #[must_use]
-    pub const fn written(&self) -> Written {
+    pub const fn sampling_rule(&self) -> SamplingRule {
         match self {
-            Self::OnTime | Self::NoRoute | Self::ClientLeft { .. } => Written::Ordinary,
-            Self::Late(_) => Written::Late,
-            _ => Written::Always,
+            Self::OnTime | Self::NoRoute | Self::ClientLeft { .. } => SamplingRule::Ordinary,
+            Self::Late(_) => SamplingRule::Late,
+            _ => SamplingRule::Always,
         }
     }
 
-    /// The end in one word.
+    /// Outcome in one word. It is also the value of `outcome` in JSON.
     #[must_use]
     pub const fn outcome(&self) -> &'static str {
         match self {
@@ -121,7 +122,7 @@
         }
     }
 
-    /// Why, in words; empty if the end says it.
+    /// Cause in words; empty if the outcome implies it. It is also the value of `cause` in JSON.
     #[must_use]
     pub fn cause(&self) -> String {
         match self {
@@ -129,7 +130,7 @@
             Self::Late(cause) => cause.describe().to_owned(),
             Self::Refused {
                 reason: word,
-                asked: _,
+                nodes_asked: _,
             }
             | Self::Unknown(word)
             | Self::NotUnderstood(word) => word.replace('_', " "),
--- a/src/log_reading/misses/requests.rs
+++ b/src/log_reading/misses/requests.rs
@@ -1,4 +1,4 @@
-//! The requests that lines tell of, each with its kind.
+//! Collects the logged requests and determines the kind of each.
 
 use crate::{
     log_reading::{
@@ -13,31 +13,31 @@
 };
 use std::collections::{HashMap, HashSet};
 
-/// A request whose end is told.
+/// A request whose end is logged.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndedRequest {
-    /// When it came, on the common clock.
-    pub came_ms: f64,
-    /// Its class; empty without a route.
+    /// Arrival time on the common clock, in milliseconds since the Unix epoch.
+    pub arrived_ms: f64,
+    /// Class of the request; empty without a route.
     pub class: String,
-    /// How it ended and why.
+    /// Outcome and cause.
     pub kind: MissKind,
 }
 
-/// All requests.
+/// All requests that the lines mention.
 #[derive(Clone, Debug, Default)]
 pub struct LoggedRequests {
-    /// Those whose end is told.
+    /// Requests whose end is logged.
     pub ended: Vec<EndedRequest>,
-    /// How many others the nodes beside upstreams tell of.
+    /// Number of other requests, for which only executing nodes logged attempts.
     pub without_end: usize,
 }
 
-/// Lines by request, for all that are looked up.
+/// Lines by request id, for lookups.
 #[derive(Default)]
 struct RequestIndex<'a> {
     executed: HashMap<&'a str, Vec<&'a LogLine>>,
-    /// The time of the slowest call that was made for a request.
+    /// Duration of the slowest call that was made for a request, in milliseconds.
     calls: HashMap<&'a str, u64>,
     ended: HashSet<&'a str>,
 }
@@ -69,17 +69,18 @@
     }
 
     fn count_without_end(&self) -> usize {
-        let told = self.executed.keys();
-        told.filter(|request| !self.ended.contains(*request))
+        let executed = self.executed.keys();
+        executed
+            .filter(|request| !self.ended.contains(*request))
             .count()
     }
 }
 
-/// Collects all requests from lines in their order.
+/// Collects all requests from lines in causal order.
 #[must_use]
 pub fn collect_requests(ordered: &[TimedLine], names: &NodeNames) -> LoggedRequests {
     let index = RequestIndex::build(ordered);
-    // A client may use an identity again: what is returned belongs to the next end at the same node.
+    // A client may use an id twice: the lines on attempts belong to the next end of that id at the same node.
     let mut returned: HashMap<(&NodeName, &str), Vec<&LogLine>> = HashMap::new();
     let mut ended = Vec::new();
     for timed in ordered {
@@ -88,8 +89,8 @@
         match line.number {
             event_numbers::ATTEMPT_RETURNED => returned.entry(key).or_default().push(line),
             event_numbers::REQUEST_ENDED => {
-                let own = returned.remove(&key).unwrap_or_default();
-                ended.push(judge_request(timed, own, &index, names));
+                let attempts = returned.remove(&key).unwrap_or_default();
+                ended.push(classify_request(timed, attempts, &index, names));
             }
             _ => {}
         }
@@ -100,7 +101,7 @@
     }
 }
 
-fn judge_request(
+fn classify_request(
     timed: &TimedLine,
     returned: Vec<&LogLine>,
     index: &RequestIndex<'_>,
@@ -112,12 +113,12 @@
         end: Some(end),
         returned,
         executed: index.executed.get(request).cloned().unwrap_or_default(),
-        beliefs: Vec::new(),
+        state_changes: Vec::new(),
     };
     let call_ms = index.calls.get(request).copied();
     EndedRequest {
-        came_ms: timed.at_ms - as_float(end.number("took_ms")),
+        arrived_ms: timed.at_ms - as_float(end.number("took_ms")),
         class: end.text("class").to_owned(),
-        kind: MissKind::find(end, &lines, names, call_ms),
+        kind: MissKind::determine(end, &lines, names, call_ms),
     }
 }
--- a/src/log_reading/request_lines.rs
+++ b/src/log_reading/request_lines.rs
@@ -1,4 +1,4 @@
-//! The lines on one request, and where its time went.
+//! The log lines on one request, and its slowest attempt.
 
 use crate::log_reading::{
     description::NodeNames,
@@ -6,45 +6,45 @@
     order::TimedLine,
 };
 
-/// What stands between the id of a request and the own part of the id of a call that it made.
+/// Separates the id of a request from the suffix that a call made for it adds to form its own id.
 const CALL_SEPARATOR: char = '.';
 
-/// What is known of a request.
+/// All log lines on a request.
 #[derive(Clone, Debug, Default)]
 pub struct RequestLines<'a> {
-    /// Its end at the node that took it.
+    /// Line of the entry node on the end of the request.
     pub end: Option<&'a LogLine>,
-    /// Its attempts as that node saw them.
+    /// Lines of the entry node on attempts.
     pub returned: Vec<&'a LogLine>,
-    /// Its attempts as the nodes beside upstreams saw them.
+    /// Lines of the executing nodes on attempts.
     pub executed: Vec<&'a LogLine>,
-    /// What the nodes that had to do with it began to believe shortly before and during it.
-    pub beliefs: Vec<&'a TimedLine>,
+    /// State changes that the involved nodes logged during the request, shortly before or shortly after it.
+    pub state_changes: Vec<&'a TimedLine>,
 }
 
-/// The attempt that took longest.
+/// The attempt of a request that took longest.
 #[derive(Clone, Copy, Debug)]
 pub struct SlowestAttempt<'a> {
-    /// Its line at the entry node.
+    /// Line of the entry node.
     pub returned: &'a LogLine,
-    /// Its line at the node beside the upstream.
+    /// Line of the executing node, if it logged the attempt.
     pub executed: Option<&'a LogLine>,
-    /// The node that was asked.
+    /// Name of the executing node, or its address if the name is not known.
     pub node: &'a str,
-    /// How long it took.
+    /// Duration as the entry node saw it, in milliseconds.
     pub took_ms: u64,
-    /// How long of that it waited for a slot.
+    /// Part of the duration that was spent waiting for a slot, in milliseconds.
     pub waited_ms: u64,
 }
 
 impl SlowestAttempt<'_> {
-    /// How long it did not wait.
+    /// Part of the duration that was not spent waiting for a slot, in milliseconds.
     #[must_use]
     pub const fn ran_ms(&self) -> u64 {
         self.took_ms.saturating_sub(self.waited_ms)
     }
 
-    /// Whether the request ended while it was under way.
+    /// Whether the request ended while the attempt was in progress.
     #[must_use]
     pub fn is_abandoned(&self) -> bool {
         self.returned.end() == EndField::ABANDONED
@@ -52,7 +52,7 @@
 }
 
 impl<'a> RequestLines<'a> {
-    /// The attempt that took longest, if one is told of.
+    /// Returns the attempt that took longest; none if the entry node logged no attempt.
     #[must_use]
     pub fn find_slowest(&self, names: &'a NodeNames) -> Option<SlowestAttempt<'a>> {
         let returned = self.returned.iter();
@@ -74,8 +74,9 @@
     }
 }
 
-/// The request that a call was made for: the identity of a call begins with that of the request and a dot.
+/// Returns the id of the request that a call was made for. The id of a call is that of the request, a dot and a
+/// suffix.
 #[must_use]
 pub fn find_parent_request(call: &str) -> Option<&str> {
-    call.rsplit_once(CALL_SEPARATOR).map(|(caller, _)| caller)
+    call.rsplit_once(CALL_SEPARATOR).map(|(parent, _)| parent)
 }
--- a/src/log_reading/request_trace.rs
+++ b/src/log_reading/request_trace.rs
@@ -1,4 +1,4 @@
-//! What became of one request: its lines at all nodes in causal order, and the cause of its end.
+//! The trace of one request: the log lines of all nodes on it in causal order, its outcome and the cause.
 
 use crate::{
     log_reading::{
@@ -16,84 +16,85 @@
 use serde::Serialize;
 use std::collections::BTreeSet;
 
-/// How long before a request a change of belief may have led to its end, in milliseconds: what a node
-/// knows of another is a few seconds old at most.
-const BELIEFS_BEFORE_MS: f64 = 3_000.0;
-/// How long after its end a node may tell of what led to it, such as its own restart.
-const BELIEFS_AFTER_MS: f64 = 3_000.0;
+/// How long before a request a state change may have influenced its outcome, in milliseconds: what a node knows of
+/// another node is at most a few seconds old.
+const STATE_CHANGES_BEFORE_MS: f64 = 3_000.0;
+/// How long after the end of a request a node may log what influenced it, such as its own restart, in milliseconds.
+const STATE_CHANGES_AFTER_MS: f64 = 3_000.0;
 
-/// One step of a request.
+/// One step of a request, taken from one log line.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct TraceStep {
-    /// Milliseconds since the request came.
+    /// Milliseconds from the arrival of the request at the entry node to the beginning of this step.
     pub at_ms: f64,
-    /// The node that tells of it.
+    /// Node that logged the step.
     pub node: NodeName,
     /// Number of the event.
     pub event: u16,
-    /// What happened.
+    /// Sentence for people.
     pub text: String,
 }
 
-/// A request's story.
+/// Everything that the logs show of one request.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct RequestTrace {
-    /// Its identity.
+    /// Id of the request.
     pub request: String,
-    /// How it ended; empty if no line tells.
+    /// Outcome in words; empty if no line reports the end of the request.
     pub end: String,
-    /// Why.
+    /// Sentences for people that explain the outcome.
     pub causes: Vec<String>,
-    /// Its steps, in causal order.
+    /// Steps of the request, by time.
     pub steps: Vec<TraceStep>,
-    /// Changes of belief of the nodes that had to do with it, shortly before and during it.
-    pub beliefs: Vec<TraceStep>,
-    /// Calls that its upstream made, in the order of their ends.
+    /// State changes that the involved nodes logged during the request, shortly before or shortly after it.
+    #[serde(rename = "beliefs")]
+    pub state_changes: Vec<TraceStep>,
+    /// Calls that upstreams made for the request, in the order of their ends.
     pub calls: Vec<TracedCall>,
 }
 
 /// A call that was made for a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct TracedCall {
-    /// Its identity.
+    /// Id of the call.
     pub request: String,
-    /// Its class.
+    /// Class of the call.
     pub class: String,
-    /// How it ended.
+    /// Outcome in words.
     pub end: String,
-    /// How long it took.
+    /// Duration in milliseconds.
     pub took_ms: u64,
 }
 
-/// Tells the story of a request.
+/// Collects the trace of the request with this id.
 #[must_use]
 pub fn trace_request(incarnations: &[NodeIncarnation], request: &str) -> RequestTrace {
     let names = NodeNames::collect(incarnations);
     let ordered = order_lines(incarnations);
-    let own: Vec<&TimedLine> = ordered
+    let own_lines: Vec<&TimedLine> = ordered
         .iter()
         .filter(|timed| timed.line.request() == Some(request))
         .collect();
-    let (began, ended) = find_span(&own);
-    let involved = list_involved(&own, &names);
-    let beliefs: Vec<&TimedLine> = ordered
+    let (arrived, ended) = find_span(&own_lines);
+    let involved = list_involved_nodes(&own_lines, &names);
+    let state_changes: Vec<&TimedLine> = ordered
         .iter()
-        .filter(|timed| may_have_led_to_end(&timed.line))
+        .filter(|timed| may_influence_request(&timed.line))
         .filter(|timed| involved.contains(&timed.line.node))
-        .filter(|timed| timed.at_ms > began - BELIEFS_BEFORE_MS)
-        .filter(|timed| timed.at_ms < ended + BELIEFS_AFTER_MS)
+        .filter(|timed| timed.at_ms > arrived - STATE_CHANGES_BEFORE_MS)
+        .filter(|timed| timed.at_ms < ended + STATE_CHANGES_AFTER_MS)
         .collect();
     let calls = list_calls(&ordered, request);
-    let lines = sort_lines(&own, beliefs.clone());
+    let lines = group_lines(&own_lines, state_changes.clone());
     let step = |timed: &&TimedLine| TraceStep {
-        at_ms: (find_start(timed, began) - began).round(),
+        at_ms: (estimate_start(timed, arrived) - arrived).round(),
         node: timed.line.node.clone(),
         event: timed.line.number,
         text: describe_line(&timed.line, &names),
     };
     let mut causes = find_causes(&lines, &names);
     causes.extend(find_slowest_call(&lines, &calls));
-    let mut steps: Vec<TraceStep> = own.iter().map(step).collect();
+    let mut steps: Vec<TraceStep> = own_lines.iter().map(step).collect();
     steps.sort_by(|one, other| one.at_ms.total_cmp(&other.at_ms));
     RequestTrace {
         request: request.to_owned(),
@@ -103,26 +104,32 @@
             .unwrap_or_default(),
         causes,
         steps,
-        beliefs: beliefs.iter().map(step).collect(),
+        state_changes: state_changes.iter().map(step).collect(),
         calls,
     }
 }
 
-fn sort_lines<'a>(own: &[&'a TimedLine], beliefs: Vec<&'a TimedLine>) -> RequestLines<'a> {
-    let of = |number| {
-        let lines = own.iter().filter(move |timed| timed.line.number == number);
+fn group_lines<'a>(
+    own_lines: &[&'a TimedLine],
+    state_changes: Vec<&'a TimedLine>,
+) -> RequestLines<'a> {
+    let lines_with = |number| {
+        let lines = own_lines
+            .iter()
+            .filter(move |timed| timed.line.number == number);
         lines.map(|timed| &timed.line)
     };
     RequestLines {
-        end: of(event_numbers::REQUEST_ENDED).next_back(),
-        returned: of(event_numbers::ATTEMPT_RETURNED).collect(),
-        executed: of(event_numbers::ATTEMPT_EXECUTED).collect(),
-        beliefs,
+        end: lines_with(event_numbers::REQUEST_ENDED).next_back(),
+        returned: lines_with(event_numbers::ATTEMPT_RETURNED).collect(),
+        executed: lines_with(event_numbers::ATTEMPT_EXECUTED).collect(),
+        state_changes,
     }
 }
 
-/// News of other nodes come all the time; only what a node does or can't do any more leads to an end.
-fn may_have_led_to_end(line: &LogLine) -> bool {
+/// Whether a line reports a state change that may have influenced a request. Records of other nodes arrive all the
+/// time; only those that report a node as leaving count.
+fn may_influence_request(line: &LogLine) -> bool {
     match line.number {
         event_numbers::NODE_KNOWN => line.is_set("leaving"),
         event_numbers::STATE_FETCHED | event_numbers::ZONE_NOTIFIED => false,
@@ -130,17 +137,17 @@
     }
 }
 
-/// When what a line tells of began: an attempt when it was sent or came.
-fn find_start(timed: &TimedLine, began: f64) -> f64 {
+/// Returns when the step that a line reports began. For an attempt this is when it was sent or received.
+fn estimate_start(timed: &TimedLine, arrived: f64) -> f64 {
     let line = &timed.line;
     match line.number {
-        event_numbers::ATTEMPT_RETURNED => began + as_float(line.number("sent_ms")),
+        event_numbers::ATTEMPT_RETURNED => arrived + as_float(line.number("sent_ms")),
         event_numbers::ATTEMPT_EXECUTED => timed.at_ms - as_float(line.number("took_ms")),
         _ => timed.at_ms,
     }
 }
 
-/// A request that was late or not answered may have waited for a call of its upstream.
+/// Reports the slowest call of the upstream if the request spent most of its time waiting for it.
 fn find_slowest_call(lines: &RequestLines<'_>, calls: &[TracedCall]) -> Option<String> {
     let end = lines.end?;
     let slowest = calls.iter().max_by_key(|call| call.took_ms)?;
@@ -152,22 +159,27 @@
     })
 }
 
-/// When the request came and when its last line was written.
-fn find_span(own: &[&TimedLine]) -> (f64, f64) {
-    let began = own
+/// Returns when the request arrived and when its last line was written.
+fn find_span(own_lines: &[&TimedLine]) -> (f64, f64) {
+    let arrived = own_lines
         .iter()
         .map(|timed| timed.at_ms - as_float(timed.line.number("took_ms")))
         .min_by(f64::total_cmp);
-    let ended = own.iter().map(|timed| timed.at_ms).max_by(f64::total_cmp);
-    (began.unwrap_or_default(), ended.unwrap_or_default())
+    let ended = own_lines
+        .iter()
+        .map(|timed| timed.at_ms)
+        .max_by(f64::total_cmp);
+    (arrived.unwrap_or_default(), ended.unwrap_or_default())
 }
 
-/// The nodes that tell of the request, and those that were asked.
-fn list_involved(own: &[&TimedLine], names: &NodeNames) -> BTreeSet<NodeName> {
-    let asked = own.iter().map(|timed| names.find(timed.line.text("to")));
-    let asked = asked.filter(|name| !name.is_empty()).map(NodeName::from);
-    let told = own.iter().map(|timed| timed.line.node.clone());
-    asked.chain(told).collect()
+/// Lists the nodes that logged the request, and those that attempts were sent to.
+fn list_involved_nodes(own_lines: &[&TimedLine], names: &NodeNames) -> BTreeSet<NodeName> {
+    let sent_to = own_lines
+        .iter()
+        .map(|timed| names.find(timed.line.text("to")));
+    let sent_to = sent_to.filter(|name| !name.is_empty()).map(NodeName::from);
+    let logged_by = own_lines.iter().map(|timed| timed.line.node.clone());
+    sent_to.chain(logged_by).collect()
 }
 
 fn list_calls(ordered: &[TimedLine], request: &str) -> Vec<TracedCall> {
--- a/src/log_reading/summary.rs
+++ b/src/log_reading/summary.rs
@@ -1,4 +1,4 @@
-//! What a whole log says: ends, refusals, repeats, changes of belief, the slowest requests.
+//! Summary of a whole log: outcomes of requests and attempts, retries, state changes, the slowest requests.
 
 use crate::{
     log_reading::{
@@ -11,50 +11,53 @@
 use serde::Serialize;
 use std::{cmp::Reverse, collections::BTreeMap, fmt};
 
-/// Slowest requests that are listed.
-const SLOWEST: usize = 10;
+/// Number of slowest requests that are listed.
+const MAX_SLOWEST: usize = 10;
 
-/// A request that took long.
+/// One of the slowest requests.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct SlowRequest {
-    /// Its identity.
+    /// Id of the request.
     pub request: String,
-    /// Its class.
+    /// Class of the request; empty without a route.
     pub class: String,
-    /// How long it took.
+    /// Duration in milliseconds.
     pub took_ms: u64,
-    /// How it ended.
+    /// Outcome in words.
     pub end: String,
 }
 
 /// Counts over all lines.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct LogSummary {
-    /// Nodes that wrote lines, with their runs.
+    /// Nodes that wrote lines, each with its number of incarnations.
     pub nodes: BTreeMap<NodeName, usize>,
-    /// Numbered lines.
+    /// Number of log lines.
     pub lines: usize,
-    /// Lines that were left out by nodes to keep to their bounds.
+    /// Number of lines that nodes suppressed because they would have exceeded their rate limits for log lines.
     pub dropped: u64,
     /// Time from the first line to the last, in seconds.
     pub seconds: f64,
-    /// Ends of requests that lines tell of. NB: of requests that go as they should only a sample.
+    /// Logged requests by outcome. Of requests that ended normally only a sample is logged.
     pub ends: BTreeMap<String, u64>,
-    /// Answered, but after the target.
+    /// Requests that were answered after their latency target.
     pub late: u64,
-    /// Ends of attempts at other nodes.
+    /// Attempts by outcome, as the entry nodes logged them.
     pub attempts: BTreeMap<String, u64>,
     /// Requests that reached more than one upstream.
-    pub repeated: u64,
-    /// Repeats that were withheld for lack of budget.
-    pub withheld: u64,
-    /// Changes of belief by name of the event.
-    pub beliefs: BTreeMap<String, u64>,
+    #[serde(rename = "repeated")]
+    pub retried: u64,
+    /// Retries that were not made because the retry budget was exhausted.
+    #[serde(rename = "withheld")]
+    pub suppressed_retries: u64,
+    /// State changes of nodes by name of the event.
+    #[serde(rename = "beliefs")]
+    pub state_changes: BTreeMap<String, u64>,
     /// The slowest requests, the slowest first.
     pub slowest: Vec<SlowRequest>,
 }
 
-/// Sums up lines in their order.
+/// Summarizes lines, which must be sorted by [`order_lines`](super::order::order_lines).
 #[must_use]
 pub fn summarize_lines(incarnations: &[NodeIncarnation], ordered: &[TimedLine]) -> LogSummary {
     let mut summary = LogSummary {
@@ -71,7 +74,7 @@
         summary.add(&timed.line);
     }
     summary.slowest.sort_by_key(|slow| Reverse(slow.took_ms));
-    summary.slowest.truncate(SLOWEST);
+    summary.slowest.truncate(MAX_SLOWEST);
     summary
 }
 
@@ -82,12 +85,12 @@
             event_numbers::ATTEMPT_RETURNED => {
                 *self.attempts.entry(line.end().describe()).or_default() += 1;
             }
-            event_numbers::RETRY_SUPPRESSED => self.withheld += 1,
+            event_numbers::RETRY_SUPPRESSED => self.suppressed_retries += 1,
             event_numbers::LINES_DROPPED => {
                 self.dropped = self.dropped.saturating_add(line.number("lines"));
             }
             number if number >= event_numbers::FIRST_STATE_CHANGE => {
-                *self.beliefs.entry(line.name.clone()).or_default() += 1;
+                *self.state_changes.entry(line.name.clone()).or_default() += 1;
             }
             _ => {}
         }
@@ -99,16 +102,16 @@
         *self.ends.entry(end.describe()).or_default() += 1;
         let answered = matches!(end, EndField::Answered(_));
         self.late += u64::from(answered && took_ms > line.number("target_ms"));
-        self.repeated += u64::from(line.number("arrivals") > 1);
+        self.retried += u64::from(line.number("arrivals") > 1);
         self.slowest.push(SlowRequest {
             request: line.text("request").to_owned(),
             class: line.text("class").to_owned(),
             took_ms,
             end: end.describe(),
         });
-        if self.slowest.len() > SLOWEST * 100 {
+        if self.slowest.len() > MAX_SLOWEST * 100 {
             self.slowest.sort_by_key(|slow| Reverse(slow.took_ms));
-            self.slowest.truncate(SLOWEST);
+            self.slowest.truncate(MAX_SLOWEST);
         }
     }
 }
@@ -118,20 +121,20 @@
         let incarnations: usize = self.nodes.values().sum();
         writeln!(
             f,
-            "{} lines of {} nodes ({incarnations} runs) over {:.1} s; {} more were left out by their nodes",
+            "{} lines of {} nodes ({incarnations} incarnations) over {:.1} s; {} more were suppressed by their nodes",
             self.lines,
             self.nodes.len(),
             self.seconds,
             self.dropped
         )?;
-        write_counts(f, "requests told of, by end", &self.ends)?;
+        write_counts(f, "logged requests, by outcome", &self.ends)?;
         writeln!(
             f,
-            "  {} answered after their target, {} reached more than one upstream, {} repeats withheld",
-            self.late, self.repeated, self.withheld
+            "  {} answered after their target, {} reached more than one upstream, {} retries suppressed",
+            self.late, self.retried, self.suppressed_retries
         )?;
-        write_counts(f, "attempts, by end", &self.attempts)?;
-        write_counts(f, "changes of belief", &self.beliefs)?;
+        write_counts(f, "attempts, by outcome", &self.attempts)?;
+        write_counts(f, "state changes", &self.state_changes)?;
         writeln!(f, "slowest requests:")?;
         for slow in &self.slowest {
             let SlowRequest {
--- a/tests/integration/log_causes.rs
+++ b/tests/integration/log_causes.rs
@@ -1,4 +1,4 @@
-//! From the lines of a failed request to the cause of its failure.
+//! Causes that are derived from the log lines of a failed or late request.
 
 use crate::log_reading::{line, started};
 use camphorturn::log_reading::{
@@ -6,10 +6,10 @@
     request_trace::{RequestTrace, trace_request},
 };
 
-/// When n1 and n2 were started, in milliseconds of the day.
-const STARTED: u64 = 1_000;
+/// When n1 and n2 were started, in milliseconds since midnight.
+const STARTED_MS: u64 = 1_000;
 
-/// Members of the line on the end of request `r1`.
+/// Fields of the line of n1 on the end of request `r1`.
 fn ended(end: &str, took: u64, more: &str) -> String {
     format!(
         "\"request\":\"r1\",\"class\":\"lookups\",\"version\":3,\"end\":{end},\"took_ms\":{took},\
@@ -17,7 +17,7 @@
     )
 }
 
-/// Members of the line on an attempt at n2.
+/// Fields of the line of n1 on an attempt that it sent to n2.
 fn returned(end: &str, took: u64, more: &str) -> String {
     format!(
         "\"request\":\"r1\",\"to\":\"10.0.0.2:1\",\"sent_ms\":1,\"within_ms\":0,\"end\":{end},\
@@ -25,7 +25,7 @@
     )
 }
 
-/// Members of the line on the same attempt at n2.
+/// Fields of the line of n2 on the same attempt.
 fn executed(end: &str, took: u64, more: &str) -> String {
     format!(
         "\"request\":\"r1\",\"from\":\"10.0.0.1:1\",\"instance\":\"i7\",\"end\":{end},\
@@ -33,11 +33,11 @@
     )
 }
 
-/// The story of `r1`, with n1 and n2 started one second before.
-fn tell(lines: &[String]) -> RequestTrace {
+/// Traces `r1` in the given lines, preceded by the starts of n1 and n2.
+fn trace(lines: &[String]) -> RequestTrace {
     let mut all = vec![
-        started("n1", (STARTED, 0), "10.0.0.1:1"),
-        started("n2", (STARTED, 0), "10.0.0.2:1"),
+        started("n1", (STARTED_MS, 0), "10.0.0.1:1"),
+        started("n2", (STARTED_MS, 0), "10.0.0.2:1"),
     ];
     all.extend_from_slice(lines);
     trace_request(
@@ -46,60 +46,60 @@
     )
 }
 
-/// Lines of n1 at a time of day: what came of the attempt at n2, and of the request.
+/// Lines of n1 on the end of the attempt at n2 and on the end of the request, at a wall-clock time in milliseconds.
 fn entry_lines(wall: u64, attempt: &str, request: &str) -> [String; 2] {
-    let time = (wall, wall - STARTED);
+    let time = (wall, wall - STARTED_MS);
     [
         line("n1", time, 2, 802, attempt),
         line("n1", time, 3, 801, request),
     ]
 }
 
-/// Line of n2 on the same attempt.
+/// Line of n2 on the same attempt, at a wall-clock time in milliseconds.
 fn executing_line(wall: u64, attempt: &str) -> String {
-    line("n2", (wall, wall - STARTED), 2, 803, attempt)
+    line("n2", (wall, wall - STARTED_MS), 2, 803, attempt)
 }
 
-fn assert_cause(story: &RequestTrace, part: &str) {
+fn assert_cause(trace: &RequestTrace, part: &str) {
     assert!(
-        story.causes.iter().any(|cause| cause.contains(part)),
-        "{part} in {story:#?}"
+        trace.causes.iter().any(|cause| cause.contains(part)),
+        "{part} in {trace:#?}"
     );
 }
 
 const FULL: &str = "{\"refused\":\"queue_full\"}";
 
 #[test]
-fn explain_refused_for_lack_of_slots() {
+fn explain_refused_without_free_slot() {
     let at_n2 = executing_line(2_004, &executed(FULL, 1, ",\"pace_percent\":400"));
     let refused = returned(FULL, 2, ",\"finish_ms\":572");
     let [attempt, end] = entry_lines(2_010, &refused, &ended(FULL, 10, ",\"asked\":1"));
-    let story = tell(&[at_n2, attempt, end]);
-    assert_eq!(story.end, "refused: queue full");
-    assert_cause(&story, "the soonest end was 572 ms away");
-    assert_cause(&story, "The VM of n2 worked at 400%");
-    let events: Vec<u16> = story.steps.iter().map(|step| step.event).collect();
+    let trace = trace(&[at_n2, attempt, end]);
+    assert_eq!(trace.end, "refused: queue full");
+    assert_cause(&trace, "the earliest predicted completion was 572 ms away");
+    assert_cause(&trace, "The VM of n2 was slow: work took 400%");
+    let events: Vec<u16> = trace.steps.iter().map(|step| step.event).collect();
     assert_eq!(events, [802, 803, 801]);
 }
 
 #[test]
-fn explain_unknown_after_a_cut() {
+fn explain_unknown_after_disconnect() {
     let cut = "{\"unknown\":\"upstream_cut\"}";
     let at_n2 = executing_line(2_004, &executed(cut, 5, ""));
     let end = ended(cut, 10, ",\"arrivals\":1");
     let [attempt, end] = entry_lines(2_010, &returned(cut, 7, ""), &end);
-    let story = tell(&[at_n2, attempt, end]);
-    assert_cause(&story, "The upstream beside n2 closed the connection");
-    assert_cause(&story, "(run i7)");
+    let trace = trace(&[at_n2, attempt, end]);
+    assert_cause(&trace, "The local upstream of n2 closed the connection");
+    assert_cause(&trace, "(incarnation i7)");
 }
 
 #[test]
-fn explain_unknown_after_a_restart() {
+fn explain_unknown_after_restart() {
     let lost = "{\"unknown\":\"node_lost\"}";
     let end = ended(lost, 10, ",\"arrivals\":1");
     let [attempt, end] = entry_lines(2_010, &returned(lost, 7, ""), &end);
-    let story = tell(&[attempt, end, started("n2", (2_500, 0), "10.0.0.2:1")]);
-    assert_cause(&story, "n2 was started anew at that time");
+    let trace = trace(&[attempt, end, started("n2", (2_500, 0), "10.0.0.2:1")]);
+    assert_cause(&trace, "n2 was restarted at that time");
 }
 
 #[test]
@@ -110,16 +110,16 @@
     let attempt = returned(answered, 400, ",\"waited_ms\":120");
     let end = ended(answered, 402, ",\"arrivals\":1");
     let [attempt, end] = entry_lines(2_405, &attempt, &end);
-    let story = tell(&[at_n2, attempt, end]);
-    assert_cause(&story, "answered 102 ms after its target");
-    assert_cause(&story, "waited 120 ms for a slot and ran for 280 ms");
-    assert_cause(&story, "took 275 ms for what takes 90 ms");
+    let trace = trace(&[at_n2, attempt, end]);
+    assert_cause(&trace, "answered 102 ms after its target");
+    assert_cause(&trace, "waited 120 ms for a slot and ran for 280 ms");
+    assert_cause(&trace, "took 275 ms for work that usually takes 90 ms");
 }
 
 #[test]
-fn explain_refused_by_a_stopping_node() {
+fn explain_refused_by_stopping_node() {
     let draining = "{\"refused\":\"draining\"}";
-    let story = tell(&[
+    let trace = trace(&[
         line(
             "n1",
             (1_900, 900),
@@ -129,62 +129,68 @@
         ),
         line("n1", (2_010, 1_010), 3, 801, &ended(draining, 0, "")),
     ]);
-    assert_cause(&story, "n1 was stopping");
+    assert_cause(&trace, "n1 was stopping");
 }
 
 #[test]
 fn explain_refused_without_configuration() {
     let none = "{\"refused\":\"no_upstream\"}";
     let members = ended(none, 0, "").replace("\"version\":3", "\"version\":0");
-    let story = tell(&[line("n1", (1_010, 10), 2, 801, &members)]);
-    assert_cause(&story, "n1 knew no configuration yet");
+    let trace = trace(&[line("n1", (1_010, 10), 2, 801, &members)]);
+    assert_cause(&trace, "n1 knew no configuration yet");
 }
 
 #[test]
-fn explain_refused_by_node_that_is_behind() {
+fn explain_refused_by_outdated_node() {
     let behind = "{\"refused\":\"configuration_behind\"}";
-    let story = tell(&[line("n1", (1_010, 10), 2, 801, &ended(behind, 0, ""))]);
-    assert_cause(&story, "n1 had no route for it and had heard of a newer");
+    let trace = trace(&[line("n1", (1_010, 10), 2, 801, &ended(behind, 0, ""))]);
+    assert_cause(
+        &trace,
+        "n1 had no route for the request and had learned of a newer",
+    );
 }
 
 #[test]
-fn explain_refused_by_node_long_behind() {
+fn explain_refused_by_node_outdated_for_long() {
     let overdue = "{\"refused\":\"configuration_overdue\"}";
-    let story = tell(&[line("n1", (1_010, 10), 2, 801, &ended(overdue, 0, ""))]);
-    assert_cause(&story, "could not fetch it");
+    let trace = trace(&[line("n1", (1_010, 10), 2, 801, &ended(overdue, 0, ""))]);
+    assert_cause(&trace, "could not fetch it");
 }
 
 #[test]
 fn explain_client_left() {
     let left = "\"client_left\"";
-    let story = tell(&[line("n1", (2_010, 1_010), 2, 801, &ended(left, 800, ""))]);
-    assert_cause(&story, "closed its connection after 800 ms");
+    let trace = trace(&[line("n1", (2_010, 1_010), 2, 801, &ended(left, 800, ""))]);
+    assert_cause(&trace, "closed its connection after 800 ms");
 }
 
-/// Symptom: a request ends at its deadline and its lines say where its time did not go. Sequence: the attempt
-/// is still under way at the deadline. Cause: only attempts that had come back were told of.
+/// Symptom: a request ends at its deadline, and its lines don't show what took the time. Sequence: the attempt is
+/// still in progress at the deadline. Cause: only attempts that had been answered were logged.
 #[test]
-fn explain_deadline_with_an_attempt_under_way() {
+fn explain_deadline_with_attempt_in_progress() {
     let passed = "{\"unknown\":\"deadline_passed\"}";
     let abandoned = returned("\"abandoned\"", 1_990, "");
     let end = ended(passed, 2_000, ",\"asked\":1");
     let [attempt, end] = entry_lines(3_000, &abandoned, &end);
-    let silent = tell(&[attempt.clone(), end.clone()]);
-    assert_cause(&silent, "n2 had not answered 1990 ms after it was asked");
+    let silent = trace(&[attempt.clone(), end.clone()]);
+    assert_cause(
+        &silent,
+        "n2 had not answered 1990 ms after the request was sent to it",
+    );
     let slow = ",\"waited_ms\":300,\"expected_ms\":90,\"pace_percent\":400";
     let at_n2 = executing_line(3_001, &executed("\"client_left\"", 1_991, slow));
-    let told = tell(&[attempt, end, at_n2]);
+    let logged = trace(&[attempt, end, at_n2]);
     assert_cause(
-        &told,
-        "At n2 it waited 300 ms for a slot and ran for 1690 ms",
+        &logged,
+        "At n2 the request waited 300 ms for a slot and ran for 1690 ms",
     );
-    assert_cause(&told, "The VM of n2 worked at 400%");
+    assert_cause(&logged, "The VM of n2 was slow: work took 400%");
 }
 
 #[test]
-fn explain_names_calls_made() {
+fn explain_lists_calls() {
     let members = ended("{\"answered\":200}", 5, "").replace("\"r1\"", "\"r1.c9\"");
-    let story = tell(&[
+    let trace = trace(&[
         line(
             "n1",
             (2_010, 1_010),
@@ -194,42 +200,48 @@
         ),
         line("n2", (2_005, 1_005), 2, 801, &members),
     ]);
-    let calls: Vec<&str> = story
+    let calls: Vec<&str> = trace
         .calls
         .iter()
         .map(|call| call.request.as_str())
         .collect();
     assert_eq!(calls, ["r1.c9"]);
-    assert_cause(&story, "a call that its upstream made: r1.c9");
+    assert_cause(&trace, "a call that its upstream made: r1.c9");
 }
 
 #[test]
 fn explain_unknown_request() {
-    let story = tell(&[]);
-    assert_eq!((story.steps.len(), story.causes.len()), (0, 0));
+    let trace = trace(&[]);
+    assert_eq!((trace.steps.len(), trace.causes.len()), (0, 0));
 }
 
 #[test]
-fn explain_refused_repeat() {
+fn explain_refused_retry() {
     let spent = "{\"refused\":\"repeats_spent\"}";
-    let story = tell(&[line(
+    let trace = trace(&[line(
         "n1",
         (2_010, 1_010),
         3,
         801,
         &ended(spent, 10, ",\"asked\":2"),
     )]);
-    assert_eq!(story.end, "refused: repeats spent");
-    assert_cause(&story, "budget of repeats");
+    assert_eq!(trace.end, "refused: repeats spent");
+    assert_cause(
+        &trace,
+        "the calls that it would have made again were not within the retry budget",
+    );
 }
 
 #[test]
 fn explain_quarantined_request() {
     let refused = "{\"refused\":\"quarantined\"}";
     let end = ended(refused, 0, ",\"asked\":0");
-    let story = tell(&[line("n1", (2_010, 1_010), 3, 801, &end)]);
-    assert_eq!(story.end, "refused: quarantined");
-    assert_cause(&story, "have crashed, so it is kept from all of them");
+    let trace = trace(&[line("n1", (2_010, 1_010), 3, 801, &end)]);
+    assert_eq!(trace.end, "refused: quarantined");
+    assert_cause(
+        &trace,
+        "crashed while they executed a request with the same fingerprint, so such requests are quarantined",
+    );
 }
 
 #[test]
@@ -237,39 +249,39 @@
     let refused = "{\"refused\":\"evacuated\"}";
     let end = ended(refused, 0, ",\"asked\":0");
     let zone = "\"zone\":\"a\",\"position\":4,\"source\":\"store\"";
-    let story = tell(&[
+    let trace = trace(&[
         line("n1", (2_000, 1_000), 2, 836, zone),
         line("n1", (2_010, 1_010), 3, 801, &end),
     ]);
-    assert_eq!(story.end, "refused: evacuated");
-    assert_cause(&story, "were in evacuated availability zones");
-    assert_cause(&story, "zone a was evacuated at that time");
+    assert_eq!(trace.end, "refused: evacuated");
+    assert_cause(&trace, "were in evacuated availability zones");
+    assert_cause(&trace, "zone a was evacuated at that time");
 }
 
 #[test]
-fn explain_cold_upstream() {
+fn explain_upstream_warming_up() {
     let answered = "{\"answered\":200}";
     let attempt = returned(answered, 600, ",\"waited_ms\":500");
     let end = ended(answered, 605, ",\"asked\":1,\"arrivals\":1");
     let [attempt, end] = entry_lines(2_700, &attempt, &end);
     let cold = "\"left_ms\":2900,\"limit\":23";
-    let story = tell(&[line("n2", (2_050, 1_050), 1, 817, cold), attempt, end]);
+    let trace = trace(&[line("n2", (2_050, 1_050), 1, 817, cold), attempt, end]);
     assert_cause(
-        &story,
-        "beside n2 was cold and was given at most 23 requests",
+        &trace,
+        "upstream of n2 was warming up and received at most 23 requests",
     );
 }
 
 #[test]
-fn explain_upstream_that_crashed() {
+fn explain_crashed_upstream() {
     let crashed = "{\"unknown\":\"upstream_crashed\"}";
     let attempt = returned(crashed, 90, "");
     let end = ended(crashed, 95, ",\"asked\":1");
     let [attempt, end] = entry_lines(2_100, &attempt, &end);
     let at_n2 = executing_line(2_099, &executed(crashed, 89, ""));
-    let story = tell(&[attempt, end, at_n2]);
+    let trace = trace(&[attempt, end, at_n2]);
     assert_cause(
-        &story,
-        "The upstream beside n2 ended while it ran it (run i7)",
+        &trace,
+        "The local upstream of n2 crashed while it executed the request (incarnation i7)",
     );
 }
--- a/tests/integration/log_reading.rs
+++ b/tests/integration/log_reading.rs
@@ -1,4 +1,4 @@
-//! Lines of several nodes in causal order, whatever their clocks say.
+//! Causal order of the log lines of several nodes with clocks that differ or jump.
 
 use bolero::check;
 use camphorturn::log_reading::{
@@ -11,7 +11,7 @@
 };
 use std::collections::BTreeMap;
 
-/// A line of a node, at a time of day and a time since its start, in milliseconds.
+/// A log line of a node, with its wall-clock time and its time since the start of the process, both in milliseconds.
 pub fn line(node: &str, (wall, up): (u64, u64), seq: u64, event: u16, members: &str) -> String {
     let (seconds, millis) = (wall / 1_000, wall % 1_000);
     let (hours, minutes) = (seconds / 3_600, seconds / 60 % 60);
@@ -24,13 +24,14 @@
     )
 }
 
-/// The first line of a run.
+/// The first log line of a process.
 pub fn started(node: &str, at: (u64, u64), address: &str) -> String {
     let members = format!("\"address\":\"{address}\",\"service\":\"desk\"");
     line(node, at, 1, 851, &members)
 }
 
-/// Three lines on a request that n1 sent to n2: those of n1 after 50 ms, that of n2 after 40.
+/// Starts of n1 and n2 and three lines on a request that n1 sent to n2. The request took 50 ms at n1 and 40 ms at n2.
+/// The wall clock of n2 is ahead by `shift` milliseconds.
 fn exchange(shift: u64) -> Vec<String> {
     vec![
         started("n1", (1_000, 0), "10.0.0.1:1"),
@@ -73,7 +74,7 @@
 }
 
 #[test]
-fn parse_line_with_a_prefix() {
+fn parse_line_with_prefix() {
     let text = format!("pod-7 stdout {}", started("n1", (5, 0), "10.0.0.1:1"));
     let parsed = LogLine::parse(&text).expect("a line");
     assert_eq!((parsed.number, parsed.node.as_str()), (851, "n1"));
@@ -82,7 +83,7 @@
 }
 
 #[test]
-fn split_runs_by_restart() {
+fn split_incarnations_by_restart() {
     let lines = [
         started("n1", (1_000, 0), "10.0.0.1:1"),
         line("n1", (1_100, 100), 2, 821, ""),
@@ -104,26 +105,26 @@
     assert!((attempt.served_span.1 - 95.0).abs() < 0.1, "{attempt:?}");
 }
 
-/// Symptom: an answer stands before its question. Sequence: the clock of one VM is 40 s ahead. Cause: lines
-/// were sorted by the time of day.
+/// Symptom: the answer to an attempt precedes its execution. Sequence: the clock of one VM is 40 s ahead. Cause: lines
+/// were sorted by wall-clock time.
 #[test]
-fn order_clocks_that_differ() {
+fn order_lines_with_different_clocks() {
     for shift in [0, 40_000] {
         let incarnations = read(&exchange(shift));
         let ordered = order_lines(&incarnations);
         let order = event_numbers(&ordered);
-        let place = |wanted| order.iter().position(|(number, _)| *number == wanted);
-        assert!(place(803) < place(802), "{order:?}");
-        assert!(place(802) < place(801), "{order:?}");
+        let position = |wanted| order.iter().position(|(number, _)| *number == wanted);
+        assert!(position(803) < position(802), "{order:?}");
+        assert!(position(802) < position(801), "{order:?}");
         let starts = align_clocks(&incarnations, &match_attempts(&incarnations));
         assert!((starts[0] - starts[1]).abs() < 15.0, "{starts:?}");
     }
 }
 
-/// Symptom: lines of one process stand in the wrong order. Sequence: the time of day jumps back by a minute
-/// while it runs. Cause: lines were sorted by the time of day.
+/// Symptom: lines of one process are in the wrong order. Sequence: the wall clock jumps back by a minute while the
+/// process runs. Cause: lines were sorted by wall-clock time.
 #[test]
-fn order_clock_that_jumps() {
+fn order_lines_with_jumping_clock() {
     let lines = [
         started("n1", (100_000, 0), "10.0.0.1:1"),
         line("n1", (101_000, 1_000), 2, 821, ""),
@@ -138,7 +139,7 @@
     assert!(spans.into_iter().all(|span| (span - 1_000.0).abs() < 1.0));
 }
 
-/// Lines of one run stay in their order, and none is lost, whatever they hold.
+/// Lines of one incarnation stay in their order, and none is lost, whatever they contain.
 #[test]
 fn order_any_lines() {
     check!()
@@ -202,7 +203,7 @@
     assert_eq!(summary.dropped, 12);
     assert_eq!(summary.slowest[0].request, "r1");
     assert!(
-        summary.to_string().contains("2 nodes (2 runs)"),
+        summary.to_string().contains("2 nodes (2 incarnations)"),
         "{summary}"
     );
 }
--- a/tests/integration/misses.rs
+++ b/tests/integration/misses.rs
@@ -1,4 +1,4 @@
-//! Which requests were not served on time: each cause once, windows, and how far figures are samples.
+//! Report of requests that were not served on time: each cause once, time windows, estimates from samples.
 
 use crate::log_reading::{line, started};
 use camphorturn::log_reading::{
@@ -18,10 +18,10 @@
 };
 const ANSWERED: &str = "{\"answered\":200}";
 const FULL: &str = "{\"refused\":\"queue_full\"}";
-/// When n1 was started, in milliseconds of the day.
-const BEGIN: u64 = 10_000;
+/// When n1 was started, in milliseconds since midnight.
+const STARTED_MS: u64 = 10_000;
 
-/// Lines of n1, numbered as they come.
+/// Lines of n1, with sequence numbers in the order in which they are added.
 struct Lines {
     all: Vec<String>,
     seq: u64,
@@ -31,8 +31,8 @@
     fn new() -> Self {
         Self {
             all: vec![
-                started("n1", (BEGIN, 0), "10.0.0.1:1"),
-                started("n2", (BEGIN, 0), "10.0.0.2:1"),
+                started("n1", (STARTED_MS, 0), "10.0.0.1:1"),
+                started("n2", (STARTED_MS, 0), "10.0.0.2:1"),
             ],
             seq: 1,
         }
@@ -40,12 +40,12 @@
 
     fn add(mut self, up: u64, event: u16, members: &str) -> Self {
         self.seq += 1;
-        let at = (BEGIN + up, up);
+        let at = (STARTED_MS + up, up);
         self.all.push(line("n1", at, self.seq, event, members));
         self
     }
 
-    /// The end of a request of `lookups` with a target of 300 ms, which came `took` before.
+    /// Adds the end of a request of `lookups` with a target of 300 ms, which arrived `took` ms before.
     fn end(self, up: u64, request: &str, end: &str, took: u64) -> Self {
         let members = format!(
             "\"request\":\"{request}\",\"class\":\"lookups\",\"end\":{end},\"asked\":1,\
@@ -54,7 +54,7 @@
         self.add(up, 801, &members)
     }
 
-    /// The return of an attempt at n2.
+    /// Adds the end of an attempt at n2.
     fn returned(self, up: u64, request: &str, end: &str, (took, waited): (u64, u64)) -> Self {
         let members = format!(
             "\"request\":\"{request}\",\"to\":\"10.0.0.2:1\",\"end\":{end},\"took_ms\":{took},\
@@ -69,7 +69,7 @@
     }
 }
 
-/// Kinds with their lines, in the order of their names.
+/// Outcomes and causes with their number of lines, sorted.
 fn list_kinds(breakdown: &Breakdown) -> Vec<(&str, &str, u64)> {
     let kinds = breakdown.kinds.iter();
     let mut kinds: Vec<_> = kinds
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn report_misses_tells_each_late_cause() {
+fn report_misses_lists_each_late_cause() {
     let report = Lines::new()
         .returned(900, "waited", ANSWERED, (390, 300))
         .end(900, "waited", ANSWERED, 400)
@@ -102,8 +102,8 @@
         .returned(940, "calls", ANSWERED, (390, 0))
         .end(940, "calls", ANSWERED, 400)
         .end(950, "silent", ANSWERED, 400)
-        .returned(960, "half_told", FULL, (1, 0))
-        .end(960, "half_told", ANSWERED, 400)
+        .returned(960, "half_logged", FULL, (1, 0))
+        .end(960, "half_logged", ANSWERED, 400)
         .report();
     let expected = [
         ("late", "called others", 1),
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn report_misses_tells_each_other_end() {
+fn report_misses_lists_each_other_outcome() {
     let report = Lines::new()
         .end(900, "r1", FULL, 10)
         .end(901, "r2", "{\"refused\":\"draining\"}", 10)
@@ -147,7 +147,7 @@
 }
 
 #[test]
-fn report_misses_tells_refusals_without_a_question_apart() {
+fn report_misses_separates_refusals_without_asked_node() {
     let none = "{\"refused\":\"no_upstream\"}";
     let unasked = "\"request\":\"r2\",\"class\":\"lookups\",\"end\":{\"refused\":\"no_upstream\"},\
                    \"asked\":0,\"took_ms\":0,\"target_ms\":300";
@@ -162,8 +162,8 @@
 }
 
 #[test]
-fn report_misses_sorts_windows_by_their_share() {
-    // It came in the window from 10 s, though it ended in that from 12 s.
+fn report_misses_sorts_windows_by_share() {
+    // `r2` arrived in the window from 10 s, though it ended in the window from 12 s.
     let report = Lines::new()
         .end(900, "r1", ANSWERED, 10)
         .end(2_100, "r2", ANSWERED, 200)
@@ -174,7 +174,7 @@
         .end(6_500, "r6", "\"no_route\"", 0)
         .report();
     let windows = report.windows.iter();
-    let told: Vec<(&str, u64, u64)> = windows
+    let listed: Vec<(&str, u64, u64)> = windows
         .map(|window| {
             let seconds = &window.from[17..];
             (seconds, window.total.lines, window.dropped_lines)
@@ -186,7 +186,7 @@
         ("10.000Z", 2, 0),
         ("16.000Z", 1, 0),
     ];
-    assert_eq!(told, expected);
+    assert_eq!(listed, expected);
     let shares: Vec<Option<f64>> = report
         .windows
         .iter()
@@ -196,8 +196,8 @@
     assert_eq!(report.dropped_lines, 7);
 }
 
-/// Symptom: a class seems to miss its target with most requests, while its clients see one in twenty. Cause:
-/// lines on what goes well are a sample, and were taken for counts.
+/// Symptom: a class seems to miss its target with most requests, while its clients see that for one in twenty. Cause:
+/// only a sample of the requests on time is logged, and the lines were taken for complete counts.
 #[test]
 fn report_misses_weighs_samples() {
     let report = Lines::new()
@@ -216,10 +216,10 @@
     assert_eq!(class.on_time_share_estimate, Some(16.0 / 25.0));
 }
 
-/// Symptom: a class is said to have no request on time, though it has some. Cause: none of these few was in the
+/// Symptom: a class is reported to have no request on time, though it has some. Cause: none of these few was in the
 /// sample.
 #[test]
-fn report_misses_gives_the_range_of_a_small_sample() {
+fn report_misses_gives_range_of_small_sample() {
     let mut lines = Lines::new();
     for request in 0..10 {
         lines = lines.end(900, &format!("r{request}"), FULL, 10);
@@ -230,9 +230,9 @@
     assert!(least < f64::EPSILON && most > 0.7, "{least} to {most}");
 }
 
-/// Where every request has a line, figures are counts and a share has no range.
+/// If every request is logged, the numbers are complete counts, and both limits of the range equal the share.
 #[test]
-fn report_misses_gives_no_range_to_counts() {
+fn report_misses_gives_exact_share_of_complete_log() {
     let lines = Lines::new()
         .end(900, "r1", ANSWERED, 10)
         .end(901, "r2", FULL, 10);
@@ -246,7 +246,7 @@
 }
 
 #[test]
-fn report_misses_counts_what_is_missing() {
+fn report_misses_counts_missing_lines() {
     let executed = "\"request\":\"gone\",\"from\":\"10.0.0.1:1\",\"end\":{\"answered\":200}";
     let mut lines = Lines::new().add(100, 803, executed);
     lines.seq += 3;
@@ -255,7 +255,7 @@
 }
 
 #[test]
-fn report_misses_of_an_identity_used_twice() {
+fn report_misses_with_reused_request_id() {
     let report = Lines::new()
         .returned(900, "r1", ANSWERED, (390, 300))
         .end(900, "r1", ANSWERED, 400)
@@ -267,7 +267,7 @@
 }
 
 #[test]
-fn report_misses_does_not_judge_an_answer_without_times() {
+fn report_misses_excludes_answer_without_times() {
     let report = Lines::new()
         .add(900, 801, "\"request\":\"r1\",\"end\":{\"answered\":200}")
         .report();
@@ -275,10 +275,10 @@
     assert_eq!(report.total.on_time_share_estimate, None);
 }
 
-/// Symptom: the command ends without a report. Sequence: one damaged line tells of a time or a number of lines
-/// beyond all measure. Cause: a date that can't be written, or a sum that overflows.
+/// Symptom: the command ends without a report. Sequence: a damaged line holds an extremely large time or number of
+/// lines. Cause: a date that can't be formatted, or a sum that overflows.
 #[test]
-fn report_misses_bears_absurd_numbers() {
+fn report_misses_accepts_extreme_numbers() {
     let most = u64::MAX;
     let dropped = format!("\"lines\":{most}");
     let mut lines = Lines::new()
@@ -286,15 +286,23 @@
         .end(901, "r2", ANSWERED, most)
         .add(902, 805, &dropped)
         .add(903, 805, &dropped);
-    lines
-        .all
-        .push(line("n1", (BEGIN, most), most, 801, "\"request\":\"r3\""));
-    lines
-        .all
-        .push(line("n2", (BEGIN, 10), most, 801, "\"request\":\"r4\""));
+    lines.all.push(line(
+        "n1",
+        (STARTED_MS, most),
+        most,
+        801,
+        "\"request\":\"r3\"",
+    ));
+    lines.all.push(line(
+        "n2",
+        (STARTED_MS, 10),
+        most,
+        801,
+        "\"request\":\"r4\"",
+    ));
     let report = lines.report();
     assert_eq!(report.total.lines, 4);
-    let told: u64 = report.windows.iter().map(|window| window.total.lines).sum();
-    assert_eq!(told, 4);
+    let listed: u64 = report.windows.iter().map(|window| window.total.lines).sum();
+    assert_eq!(listed, 4);
     assert_eq!((report.dropped_lines, report.missing_lines), (most, most));
 }
