--- a/examples/added_time.rs
+++ b/examples/added_time.rs
@@ -202,7 +202,7 @@
 }
 
 fn build_call(connection: u64, round: u32, way: usize) -> CallerCall {
-    let names = HeaderNames::product();
+    let names = HeaderNames::default_names();
     let mut headers = HeaderMap::new();
     headers.insert(HOST, HeaderValue::from_static("desk.example"));
     let id = format!("{connection}-{round}-{way}");
--- a/src/commands/misses.rs
+++ b/src/commands/misses.rs
@@ -8,7 +8,7 @@
         misses::text::write_report,
     },
     log_reading::misses::{MissReport, breakdown::Sampling, report_misses},
-    options::{exit_code::ExitCode, proxy_settings::LineRules},
+    options::{exit_code::ExitCode, proxy_settings::LogSettings},
 };
 use bpaf::Bpaf;
 use serde::Serialize;
@@ -102,10 +102,13 @@
 }
 
 fn read_sampling(one_in: u64) -> Sampling {
-    let rules = LineRules { one_in, kept: 0 };
+    let rules = LogSettings {
+        ordinary_one_in: one_in,
+        kept_lines: 0,
+    };
     Sampling {
         ordinary_one_in: one_in,
-        late_one_in: rules.one_in_late(),
+        late_one_in: rules.late_one_in(),
     }
 }
 
--- a/src/local_mesh/load.rs
+++ b/src/local_mesh/load.rs
@@ -174,7 +174,7 @@
         let mut headers = HeaderMap::new();
         let mark = self.mark.to_string();
         put(&mut headers, HOST, &spec.host);
-        put(&mut headers, HeaderNames::product().request_id, &mark);
+        put(&mut headers, HeaderNames::default_names().request_id, &mark);
         let separator = if spec.path.contains('?') { '&' } else { '?' };
         CallerCall {
             method: spec.method.clone(),
--- a/src/local_mesh/node.rs
+++ b/src/local_mesh/node.rs
@@ -7,7 +7,7 @@
     },
     local_mesh::{LOCAL_TOKEN, LocalMeshError, plan::NodePlan, store::LocalStore},
     options::proxy_settings::{
-        CONFIGURATION_APPLY, HeaderNames, LineRules, NodeBounds, ProxySettings,
+        DEFAULT_CONFIGURATION_APPLY_TIMEOUT, HeaderNames, LogSettings, NodeLimits, ProxySettings,
     },
     proxy::{
         ProxyListeners, core::ProxyCore, operator_requests::answer_operators, run_proxy,
@@ -296,19 +296,19 @@
         peers: listeners.peers.local_addr()?,
         upstream: upstream.address,
         service: plan.service.clone(),
-        bounds: NodeBounds {
-            repeats: REPEATS,
+        limits: NodeLimits {
+            retry_budget: REPEATS,
             probes_per_second: PROBES_PER_SECOND,
-            grace: GRACE,
-            configuration_apply: CONFIGURATION_APPLY,
+            shutdown_grace: GRACE,
+            configuration_apply_timeout: DEFAULT_CONFIGURATION_APPLY_TIMEOUT,
             slow_start: SlowStartSettings::default(),
         },
-        lines: LineRules {
-            one_in: 1,
-            kept: KEPT_LINES,
+        log: LogSettings {
+            ordinary_one_in: 1,
+            kept_lines: KEPT_LINES,
         },
         operators: Some(operators),
         first_start: false,
-        headers: HeaderNames::product(),
+        headers: HeaderNames::default_names(),
     })
 }
--- a/src/options/proxy_settings.rs
+++ b/src/options/proxy_settings.rs
@@ -9,7 +9,7 @@
 
 /// Of late requests so many times more are written than of those that go as they should. Written in full they
 /// would take 9% of a node's processor time on a day of high load.
-const LATE_MORE: u64 = 2;
+const LATE_SAMPLING_FACTOR: u64 = 2;
 
 /// Names of the headers that clients and upstreams use. They differ between platforms; the node
 /// only knows what each holds.
@@ -38,7 +38,7 @@
 impl HeaderNames {
     /// The product's own names, for upstreams without a platform that names them.
     #[must_use]
-    pub const fn product() -> Self {
+    pub const fn default_names() -> Self {
         Self {
             request_id: HeaderName::from_static("x-request-id"),
             time_left: HeaderName::from_static("x-time-left-ms"),
@@ -55,37 +55,37 @@
 
 /// Which lines of the log are written, and which are kept.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct LineRules {
+pub struct LogSettings {
     /// Of requests that go as they should, one in so many is written, the same ones at all nodes: a
     /// request of which only some nodes tell explains nothing.
-    pub one_in: u64,
+    pub ordinary_one_in: u64,
     /// Lines kept in memory for operators' tools.
-    pub kept: usize,
+    pub kept_lines: usize,
 }
 
-impl LineRules {
+impl LogSettings {
     /// Of late requests, one in so many is written.
     #[must_use]
-    pub const fn one_in_late(&self) -> u64 {
-        let one_in = self.one_in / LATE_MORE;
+    pub const fn late_one_in(&self) -> u64 {
+        let one_in = self.ordinary_one_in / LATE_SAMPLING_FACTOR;
         if one_in == 0 { 1 } else { one_in }
     }
 }
 
 /// Time until an accepted configuration is in force at all nodes, where nothing else is told.
-pub const CONFIGURATION_APPLY: Duration = Duration::from_secs(2);
+pub const DEFAULT_CONFIGURATION_APPLY_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Bounds on what a node does. They may change while it runs.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct NodeBounds {
+pub struct NodeLimits {
     /// Bounds on repeated requests.
-    pub repeats: RetryBudgetSettings,
+    pub retry_budget: RetryBudgetSettings,
     /// Most questions a second to the upstream for its load.
     pub probes_per_second: f64,
     /// Time from the order to stop until the process is killed.
-    pub grace: Duration,
+    pub shutdown_grace: Duration,
     /// Longest time from the acknowledgement of a configuration until it is in force at all nodes.
-    pub configuration_apply: Duration,
+    pub configuration_apply_timeout: Duration,
     /// Bounds on what a cold upstream gets.
     pub slow_start: SlowStartSettings,
 }
@@ -106,9 +106,9 @@
     /// Its service.
     pub service: ServiceName,
     /// Bounds that may change while the node runs.
-    pub bounds: NodeBounds,
+    pub limits: NodeLimits,
     /// Which lines of the log are written and kept.
-    pub lines: LineRules,
+    pub log: LogSettings,
     /// Where operators' tools reach the node, if they can.
     pub operators: Option<SocketAddr>,
     /// The whole mesh starts for the first time: the store holds no records of it, and nobody waits for it yet.
--- a/src/proxy/core.rs
+++ b/src/proxy/core.rs
@@ -11,7 +11,7 @@
         offer_rounds::OfferRounds, retry_budget::RetryBudget, table_sources::TableSources,
         version_lag::VersionLag,
     },
-    options::proxy_settings::{NodeBounds, ProxySettings},
+    options::proxy_settings::{NodeLimits, ProxySettings},
     proxy::{
         directory::{Directory, StateSource},
         evacuating::EvacuationsInForce,
@@ -48,7 +48,7 @@
     /// Settings that the node was started with.
     pub settings: ProxySettings,
     /// Limits in force; they may change while the node runs.
-    limits: Cell<NodeBounds>,
+    limits: Cell<NodeLimits>,
     /// Clock and timers.
     pub timers: TimerService,
     /// The routing table in force and the known nodes.
@@ -127,18 +127,18 @@
             record_lost_in_epoch: Cell::default(),
             own_record_lost: Notify::new(),
             local_upstream: RefCell::default(),
-            slots: Slots::new(settings.bounds.probes_per_second, timers.now()),
+            slots: Slots::new(settings.limits.probes_per_second, timers.now()),
             retry_budgets: RefCell::default(),
             calls_per_execution: RefCell::default(),
             outgoing: OutgoingConnections::new(timers.clone()),
             in_progress: Cell::new(0),
             stopping_since: Cell::new(None),
             counters: ProxyCounters::default(),
-            log_writer: LineWriter::new(settings.name.clone(), settings.lines, timers.now()),
+            log_writer: LineWriter::new(settings.name.clone(), settings.log, timers.now()),
             started: timers.now(),
             class_counts: RefCell::default(),
             class_bytes: RefCell::default(),
-            limits: Cell::new(settings.bounds),
+            limits: Cell::new(settings.limits),
             is_fetching_table: Cell::new(false),
             table_sources: RefCell::default(),
             version_lag: RefCell::default(),
@@ -167,12 +167,12 @@
 
     /// The limits in force.
     #[must_use]
-    pub fn limits(&self) -> NodeBounds {
+    pub fn limits(&self) -> NodeLimits {
         self.limits.get()
     }
 
     /// Replaces the limits in force, including the probe rate of the slots.
-    pub fn set_limits(&self, limits: NodeBounds) {
+    pub fn set_limits(&self, limits: NodeLimits) {
         self.limits.set(limits);
         self.slots.set_probe_limit(limits.probes_per_second);
     }
--- a/src/proxy/entry.rs
+++ b/src/proxy/entry.rs
@@ -155,7 +155,9 @@
 /// Whether a request accepted now might not end before the stopping node is killed.
 fn is_too_late_to_accept(core: &ProxyCore, now: Timestamp) -> bool {
     let since = core.stopping_since.get();
-    since.is_some_and(|since| now.since(since) > core.limits().grace.mul_f64(ACCEPTING_GRACE_SHARE))
+    since.is_some_and(|since| {
+        now.since(since) > core.limits().shutdown_grace.mul_f64(ACCEPTING_GRACE_SHARE)
+    })
 }
 
 /// Finds the route and the service of a request and makes attempts until it has an outcome, at the latest until its deadline.
@@ -232,7 +234,7 @@
 fn is_configuration_overdue(core: &ProxyCore) -> bool {
     let limit = core
         .limits()
-        .configuration_apply
+        .configuration_apply_timeout
         .mul_f64(VERSION_REPORT_SHARE);
     let version = core.directory.borrow().version();
     let lag = core.version_lag.borrow();
--- a/src/proxy/events/lines.rs
+++ b/src/proxy/events/lines.rs
@@ -4,7 +4,7 @@
 //! while most requests fail.
 
 use crate::{
-    options::proxy_settings::LineRules,
+    options::proxy_settings::LogSettings,
     proxy::events::{ProxyEvent, Severity},
     state::{names::NodeName, rate_limit::RateLimit, timestamp::Timestamp},
 };
@@ -43,7 +43,7 @@
 pub struct LineWriter {
     node: NodeName,
     started: Timestamp,
-    rules: LineRules,
+    rules: LogSettings,
     next_seq: Cell<u64>,
     important_limit: RefCell<RateLimit>,
     ordinary_limit: RefCell<RateLimit>,
@@ -54,7 +54,7 @@
 impl LineWriter {
     /// Creates the writer of a node that starts at `started`.
     #[must_use]
-    pub fn new(node: NodeName, rules: LineRules, started: Timestamp) -> Self {
+    pub fn new(node: NodeName, rules: LogSettings, started: Timestamp) -> Self {
         Self {
             node,
             started,
@@ -114,8 +114,8 @@
     fn is_sampled(&self, severity: Severity, event: &ProxyEvent) -> bool {
         let one_in = match severity {
             Severity::Important => 1,
-            Severity::Late => self.rules.one_in_late(),
-            Severity::Ordinary => self.rules.one_in,
+            Severity::Late => self.rules.late_one_in(),
+            Severity::Ordinary => self.rules.ordinary_one_in,
         };
         event.request().is_none_or(|request| {
             let mut hasher = DefaultHasher::new();
@@ -172,7 +172,7 @@
 
     /// Keeps a line for operators' tools, in the form in which it is written to standard output.
     fn keep(&self, seq: u64, level: Level, (number, name): (u16, &str), fields: &str) {
-        if self.rules.kept == 0 {
+        if self.rules.kept_lines == 0 {
             return;
         }
         let mut time = String::new();
@@ -183,7 +183,7 @@
             "{{\"time\":\"{time}\",\"level\":\"{level}\",\"event\":{number},\"name\":\"{name}\",{members}"
         );
         let mut kept_lines = self.kept_lines.borrow_mut();
-        if kept_lines.len() >= self.rules.kept {
+        if kept_lines.len() >= self.rules.kept_lines {
             kept_lines.pop_front();
         }
         kept_lines.push_back((seq, line));
--- a/src/proxy/graceful_stop.rs
+++ b/src/proxy/graceful_stop.rs
@@ -32,7 +32,7 @@
         return true;
     };
     let stopping_for = core.timers.now().since(since);
-    let latest = core.limits().grace.saturating_sub(KILL_MARGIN);
+    let latest = core.limits().shutdown_grace.saturating_sub(KILL_MARGIN);
     stopping_for <= ACCEPTING_TIME && stopping_for + time_left <= latest
 }
 
@@ -44,7 +44,7 @@
         in_progress: core.in_progress.get(),
         running: core.slots.load().running,
     });
-    let latest = since + core.limits().grace.saturating_sub(KILL_MARGIN);
+    let latest = since + core.limits().shutdown_grace.saturating_sub(KILL_MARGIN);
     let mut idle_checks = 0;
     while idle_checks < IDLE_CHECKS && core.timers.now() < latest {
         let _ = core.timers.after(CHECK_INTERVAL).recv_async().await;
--- a/src/proxy/retry_budgets.rs
+++ b/src/proxy/retry_budgets.rs
@@ -18,7 +18,7 @@
         .record_request(service, now);
     let mut budgets = core.retry_budgets.borrow_mut();
     let budget = budgets.entry(service.clone()).or_default();
-    budget.count_request(now, core.limits().repeats);
+    budget.count_request(now, core.limits().retry_budget);
 }
 
 /// Takes one retry from the budget of a service; false if the budget is exhausted.
@@ -86,7 +86,7 @@
 
 fn compute_budget_share(core: &ProxyCore) -> RetryBudgetShare {
     RetryBudgetShare {
-        settings: core.limits().repeats,
+        settings: core.limits().retry_budget,
         nodes: core.directory.borrow().nodes.len(),
         uptime: core.timers.now().since(core.started),
     }
--- a/tests/integration/command_line.rs
+++ b/tests/integration/command_line.rs
@@ -259,7 +259,7 @@
     let mut headers = HeaderMap::new();
     headers.insert(HOST, HeaderValue::from_static("dock.example"));
     headers.insert(
-        HeaderNames::product().request_id,
+        HeaderNames::default_names().request_id,
         HeaderValue::from_static(id),
     );
     let call = CallerCall {
--- a/tests/integration/metrics_page.rs
+++ b/tests/integration/metrics_page.rs
@@ -2,7 +2,7 @@
 
 use camphorturn::{
     coordination::{retry_budget::RetryBudgetSettings, slow_start::SlowStartSettings},
-    options::proxy_settings::{HeaderNames, LineRules, NodeBounds, ProxySettings},
+    options::proxy_settings::{HeaderNames, LogSettings, NodeLimits, ProxySettings},
     proxy::{core::ProxyCore, metrics::render_metrics},
     state::class_counts::ClassCounts,
     timers::TimerService,
@@ -23,21 +23,24 @@
         peers: address,
         upstream: address,
         service: "desk".into(),
-        bounds: NodeBounds {
-            repeats: RetryBudgetSettings {
+        limits: NodeLimits {
+            retry_budget: RetryBudgetSettings {
                 ratio: 0.2,
                 slack: 60.0,
                 window: Duration::from_secs(10),
             },
             probes_per_second: 60.0,
-            grace: Duration::from_secs(6),
-            configuration_apply: Duration::from_secs(2),
+            shutdown_grace: Duration::from_secs(6),
+            configuration_apply_timeout: Duration::from_secs(2),
             slow_start: SlowStartSettings::default(),
         },
-        lines: LineRules { one_in: 1, kept: 0 },
+        log: LogSettings {
+            ordinary_one_in: 1,
+            kept_lines: 0,
+        },
         operators: None,
         first_start: false,
-        headers: HeaderNames::product(),
+        headers: HeaderNames::default_names(),
     };
     ProxyCore::new(settings, TimerService::fake())
 }
--- a/tests/integration/proxy_decisions.rs
+++ b/tests/integration/proxy_decisions.rs
@@ -8,7 +8,7 @@
         store_reading::{ReadingRole, is_reader, plan_reading},
     },
     log_reading::line::LogLine,
-    options::proxy_settings::LineRules,
+    options::proxy_settings::LogSettings,
     protocol::store::StoreTopic,
     proxy::{
         directory::{Directory, StateSource},
@@ -400,9 +400,9 @@
     assert_eq!((ordinary, important), (20, 150));
 }
 
-const KEEP_ALL: LineRules = LineRules {
-    one_in: 1,
-    kept: 1_000,
+const KEEP_ALL: LogSettings = LogSettings {
+    ordinary_one_in: 1,
+    kept_lines: 1_000,
 };
 
 fn retry_suppressed(request: &str) -> ProxyEvent {
@@ -416,9 +416,9 @@
 /// drawn by request and not by line.
 #[test]
 fn lines_sample_same_requests_at_all_nodes() {
-    let rules = LineRules {
-        one_in: 4,
-        kept: 1_000,
+    let rules = LogSettings {
+        ordinary_one_in: 4,
+        kept_lines: 1_000,
     };
     let now = Timestamp(1);
     let list_requests = |node: &str| {
