--- a/soak/src/lib.rs
+++ b/soak/src/lib.rs
@@ -59,7 +59,7 @@
     };
     run_daemon_with_listeners(arguments, async move |settings| {
         let mut behind = settings.clone();
-        behind.proxy.peers.set_port(port);
+        behind.proxy.peer_address.set_port(port);
         PlatformListeners::bind(&behind).await
     })
 }
--- a/src/local_mesh/node.rs
+++ b/src/local_mesh/node.rs
@@ -233,7 +233,7 @@
     let (requests_tx, requests) = flume::unbounded();
     let server = serve_operators(ANY_PORT.into(), LOCAL_TOKEN, requests_tx)?;
     let settings = describe_node(&plan, &listeners, &upstream, server.address)?;
-    let (clients, upstream_address) = (settings.clients, settings.upstream);
+    let (clients, upstream_address) = (settings.client_address, settings.upstream_address);
     let core = ProxyCore::new(settings, timers.clone());
     let records = start_store_sync(&core, store.clone());
     spawn_local(answer_operators(
@@ -292,9 +292,9 @@
     Ok(ProxySettings {
         name: plan.name.clone(),
         availability_zone: plan.availability_zone.clone(),
-        clients: listeners.clients.local_addr()?,
-        peers: listeners.peers.local_addr()?,
-        upstream: upstream.address,
+        client_address: listeners.clients.local_addr()?,
+        peer_address: listeners.peers.local_addr()?,
+        upstream_address: upstream.address,
         service: plan.service.clone(),
         limits: NodeLimits {
             retry_budget: REPEATS,
@@ -307,7 +307,7 @@
             ordinary_one_in: 1,
             kept_lines: KEPT_LINES,
         },
-        operators: Some(operators),
+        operator_address: Some(operators),
         first_start: false,
         headers: HeaderNames::default_names(),
     })
--- a/src/options/proxy_settings.rs
+++ b/src/options/proxy_settings.rs
@@ -98,11 +98,11 @@
     /// Availability zone of its VM.
     pub availability_zone: AvailabilityZoneName,
     /// Where clients on the VM send requests.
-    pub clients: SocketAddr,
+    pub client_address: SocketAddr,
     /// Where other nodes send requests.
-    pub peers: SocketAddr,
+    pub peer_address: SocketAddr,
     /// Where the upstream on the VM listens.
-    pub upstream: SocketAddr,
+    pub upstream_address: SocketAddr,
     /// Its service.
     pub service: ServiceName,
     /// Bounds that may change while the node runs.
@@ -110,7 +110,7 @@
     /// Which lines of the log are written and kept.
     pub log: LogSettings,
     /// Where operators' tools reach the node, if they can.
-    pub operators: Option<SocketAddr>,
+    pub operator_address: Option<SocketAddr>,
     /// The whole mesh starts for the first time: the store holds no records of it, and nobody waits for it yet.
     pub first_start: bool,
     /// Header names of the platform.
--- a/src/proxy/core.rs
+++ b/src/proxy/core.rs
@@ -206,7 +206,7 @@
 
     /// Records a record of another node. Returns whether it changed what was known; a record of this node never does.
     pub fn apply_record(&self, stored: StoredRecord, source: StateSource) -> bool {
-        if stored.record.address == self.settings.peers {
+        if stored.record.address == self.settings.peer_address {
             return false;
         }
         let event = ProxyEvent::NodeKnown {
--- a/src/proxy/core/mesh_roles.rs
+++ b/src/proxy/core/mesh_roles.rs
@@ -33,7 +33,10 @@
     }
 
     fn find_reading_role(&self) -> ReadingRole {
-        find_reading_role(self.settings.peers, self.list_zone_nodes().into_iter())
+        find_reading_role(
+            self.settings.peer_address,
+            self.list_zone_nodes().into_iter(),
+        )
     }
 
     /// Whether this node reads the store in place of a node that can't reach it.
@@ -53,7 +56,7 @@
     #[must_use]
     pub fn is_first_in_mesh(&self) -> bool {
         is_first(
-            self.settings.peers,
+            self.settings.peer_address,
             self.list_reachable(|_| true).into_iter(),
         )
     }
@@ -62,7 +65,7 @@
     #[must_use]
     pub fn find_predecessor(&self) -> Option<SocketAddr> {
         let others = self.list_reachable(|_| true).into_iter();
-        find_predecessor(self.settings.peers, others)
+        find_predecessor(self.settings.peer_address, others)
     }
 
     /// Makes this node read the store for its zone for a while, in place of a node that can't reach it.
@@ -98,7 +101,10 @@
         let own_zone = &self.settings.availability_zone;
         let known_nodes = directory.nodes.values();
         let zone = known_nodes.filter(|node| node.record.availability_zone == *own_zone);
-        let ring = order_ring(self.settings.peers, zone.map(|node| node.record.address));
+        let ring = order_ring(
+            self.settings.peer_address,
+            zone.map(|node| node.record.address),
+        );
         let ring_nodes = ring.into_iter().map(|address| RingNode {
             address,
             has_version: has_version(address),
@@ -115,7 +121,7 @@
             .filter(|node| matches(&node.record))
             .filter(|node| is_reachable(node, now))
             .map(|node| node.record.address)
-            .filter(|address| *address != self.settings.peers)
+            .filter(|address| *address != self.settings.peer_address)
             .collect()
     }
 }
--- a/src/proxy/crash_detection.rs
+++ b/src/proxy/crash_detection.rs
@@ -284,7 +284,7 @@
         let Some(to) = remaining.borrow_mut().next() else {
             return;
         };
-        if to == core.settings.peers {
+        if to == core.settings.peer_address {
             return apply_finding(core, &finding);
         }
         if send_state(core, to, &message).await.is_some() {
@@ -297,8 +297,8 @@
 fn list_all_nodes(core: &ProxyCore) -> Vec<SocketAddr> {
     let directory = core.directory.borrow();
     let mut nodes: Vec<SocketAddr> = directory.nodes.keys().copied().collect();
-    if !directory.nodes.contains_key(&core.settings.peers) {
-        nodes.push(core.settings.peers);
+    if !directory.nodes.contains_key(&core.settings.peer_address) {
+        nodes.push(core.settings.peer_address);
     }
     nodes
 }
@@ -312,6 +312,6 @@
     known_nodes.sort_by_key(|(_, node)| Reverse(node.consecutive_failures));
     let addresses = known_nodes.into_iter().map(|(address, _)| *address);
     addresses
-        .filter(|address| *address != core.settings.peers)
+        .filter(|address| *address != core.settings.peer_address)
         .collect()
 }
--- a/src/proxy/entry/attempt.rs
+++ b/src/proxy/entry/attempt.rs
@@ -42,7 +42,7 @@
     hop: HopRequest,
 ) -> AttemptResult {
     let outstanding = OutstandingAttempt::begin(&core, &call, attempts, to, hop.finish_within);
-    let result = if to == core.settings.peers {
+    let result = if to == core.settings.peer_address {
         Ok(execute(&core, &hop, copy_request(&call.req)).await)
     } else {
         send_hop(&core, to, &hop, &call.req).await
--- a/src/proxy/entry/request_router.rs
+++ b/src/proxy/entry/request_router.rs
@@ -238,7 +238,7 @@
             idempotent: self.call.route.idempotent,
             is_retry: self.attempts.upstream_attempts() > 0 || !self.in_flight.is_empty(),
             version: self.core.directory.borrow().version(),
-            sender: self.core.settings.peers,
+            sender: self.core.settings.peer_address,
         };
         let core = Rc::clone(&self.core);
         let call = Rc::clone(&self.call);
--- a/src/proxy/evacuating.rs
+++ b/src/proxy/evacuating.rs
@@ -219,7 +219,7 @@
 fn build_message(core: &ProxyCore) -> StateMessage {
     StateMessage {
         evacuations: core.evacuations.describe(),
-        sender: Some(core.settings.peers),
+        sender: Some(core.settings.peer_address),
         ..StateMessage::default()
     }
 }
--- a/src/proxy/executing/dispatch.rs
+++ b/src/proxy/executing/dispatch.rs
@@ -72,7 +72,7 @@
     let started = core.timers.now();
     let percent = core.slots.load().slowdown_percent;
     let deadline = core.timers.after(time_left);
-    let address = core.settings.upstream;
+    let address = core.settings.upstream_address;
     let is_answer = |parts: &Parts| is_response_to(names, parts, id.as_ref());
     let send_result = tokio::select! {
         send_result = core.outgoing.send(address, request, options, is_answer) => send_result,
--- a/src/proxy/executing/probes.rs
+++ b/src/proxy/executing/probes.rs
@@ -47,7 +47,7 @@
     service: &ServiceName,
     instance: &str,
 ) -> bool {
-    let upstream = core.settings.upstream;
+    let upstream = core.settings.upstream_address;
     let Some(uri) = find_health_uri(core, service) else {
         return core
             .outgoing
@@ -111,7 +111,7 @@
     let names = &core.settings.headers;
     // A response with a request ID is a late response to a request.
     let is_answer = |parts: &Parts| !parts.headers.contains_key(&names.request_id);
-    let upstream = core.settings.upstream;
+    let upstream = core.settings.upstream_address;
     tokio::select! {
         sent = core.outgoing.send(upstream, request, options, is_answer) => {
             let answer = sent.map_err(ProbeError::Failed)?;
--- a/src/proxy/operator_requests.rs
+++ b/src/proxy/operator_requests.rs
@@ -178,7 +178,7 @@
 fn list_peers(core: &ProxyCore, directory: &Directory) -> Vec<PeerStatus> {
     let nodes = directory.nodes.values();
     nodes
-        .filter(|node| node.record.address != core.settings.peers)
+        .filter(|node| node.record.address != core.settings.peer_address)
         .map(|node| PeerStatus {
             node: Some(node.record.name.clone()),
             operators: node.record.operator_address,
--- a/src/proxy/start.rs
+++ b/src/proxy/start.rs
@@ -47,7 +47,7 @@
         Rc::new(PeerHandler::new(Rc::clone(core))),
     ));
     core.log(&ProxyEvent::NodeStarted {
-        address: core.settings.peers,
+        address: core.settings.peer_address,
         service: core.settings.service.clone(),
     });
     // The sender is dropped only at the end of the process.
--- a/src/proxy/store_sync/nodes.rs
+++ b/src/proxy/store_sync/nodes.rs
@@ -53,7 +53,7 @@
             let Some(stored) = self.decode_node(record, value) else {
                 continue;
             };
-            if stored.record.address == core.settings.peers {
+            if stored.record.address == core.settings.peer_address {
                 own = Some(stored);
             } else if core.apply_record(stored.clone(), StateSource::Store) {
                 new_records.push(stored);
--- a/src/proxy/store_sync/restored_store.rs
+++ b/src/proxy/store_sync/restored_store.rs
@@ -93,7 +93,7 @@
     let message = StateMessage {
         evacuations: core.evacuations.describe(),
         stored_table: core.directory.borrow().stored_table(),
-        sender: Some(core.settings.peers),
+        sender: Some(core.settings.peer_address),
         ..StateMessage::default()
     };
     send_along_tree(core, &core.list_zone_nodes(), &message);
@@ -119,7 +119,7 @@
         .directory
         .borrow_mut()
         .reconcile_with_restored_store(&records);
-    let own = core.settings.peers;
+    let own = core.settings.peer_address;
     let own_stored = records.iter().find(|stored| stored.record.address == own);
     let own_stored = own_stored.map(|stored| stored.record.clone());
     for stored in records {
@@ -153,7 +153,7 @@
     }
     let own_zone = &core.settings.availability_zone;
     let asked = lost_records.iter().filter(|record| {
-        record.availability_zone == *own_zone && record.address != core.settings.peers
+        record.availability_zone == *own_zone && record.address != core.settings.peer_address
     });
     let asked: Vec<SocketAddr> = asked.map(|record| record.address).collect();
     let message = StateMessage {
--- a/src/proxy/table_fetching.rs
+++ b/src/proxy/table_fetching.rs
@@ -157,7 +157,7 @@
     let message = StateMessage {
         changes_since: Some(since),
         has_records: core.has_records(),
-        sender: Some(core.settings.peers),
+        sender: Some(core.settings.peer_address),
         ..StateMessage::default()
     };
     let sent_at = core.timers.now();
--- a/src/proxy/table_offering.rs
+++ b/src/proxy/table_offering.rs
@@ -81,7 +81,7 @@
 async fn offer_directly(core: &ProxyCore, to: SocketAddr, version: ConfigurationVersion) {
     let message = StateMessage {
         offered_version: Some(version),
-        sender: Some(core.settings.peers),
+        sender: Some(core.settings.peer_address),
         ..StateMessage::default()
     };
     let answer = exchange_state(core, to, &message).await;
@@ -95,7 +95,7 @@
 /// Offers the version in force to nodes, along a tree.
 pub fn offer_table(core: &Rc<ProxyCore>, receivers: &[SocketAddr]) {
     let offer = TableOffer {
-        from: core.settings.peers,
+        from: core.settings.peer_address,
         version: core.directory.borrow().version(),
         forward_to: receivers.to_vec(),
     };
--- a/src/proxy/upstream_announcements.rs
+++ b/src/proxy/upstream_announcements.rs
@@ -171,12 +171,12 @@
     let current = own.current()?;
     Some(NodeRecord {
         name: core.settings.name.clone(),
-        address: core.settings.peers,
+        address: core.settings.peer_address,
         service: current.service.clone(),
         availability_zone: core.settings.availability_zone.clone(),
         incarnation: current.identity.clone(),
         slots: current.slots,
         leaving: current.leaving,
-        operator_address: core.settings.operators,
+        operator_address: core.settings.operator_address,
     })
 }
--- a/tests/integration/metrics_page.rs
+++ b/tests/integration/metrics_page.rs
@@ -19,9 +19,9 @@
     let settings = ProxySettings {
         name: "n1".into(),
         availability_zone: "a".into(),
-        clients: address,
-        peers: address,
-        upstream: address,
+        client_address: address,
+        peer_address: address,
+        upstream_address: address,
         service: "desk".into(),
         limits: NodeLimits {
             retry_budget: RetryBudgetSettings {
@@ -38,7 +38,7 @@
             ordinary_one_in: 1,
             kept_lines: 0,
         },
-        operators: None,
+        operator_address: None,
         first_start: false,
         headers: HeaderNames::default_names(),
     };
