--- a/examples/added_time.rs
+++ b/examples/added_time.rs
@@ -63,9 +63,9 @@
         "the mesh is not ready"
     );
     let ways = [
-        ("direct", mesh.nodes[0].upstream),
-        ("local", mesh.nodes[0].clients),
-        ("node to node", mesh.nodes[1].clients),
+        ("direct", mesh.nodes[0].upstream_address),
+        ("local", mesh.nodes[0].client_address),
+        ("node to node", mesh.nodes[1].client_address),
     ];
     let mut rows = Vec::new();
     for connections in CONNECTIONS {
@@ -94,8 +94,8 @@
         availability_zones: vec!["a".into()],
         service_times: Vec::new(),
     };
-    let mut nodes = service("desk").nodes(1);
-    nodes.extend(service("records").nodes(2));
+    let mut nodes = service("desk").build_nodes(1);
+    nodes.extend(service("records").build_nodes(2));
     let entry = |name: &str| ServiceEntry {
         name: name.into(),
         health_path: "/health".into(),
--- a/soak/src/callers.rs
+++ b/soak/src/callers.rs
@@ -75,10 +75,12 @@
         let node_run = world.machines[self.node].node_run.get();
         let sent = Instant::now();
         let answer = timeout(PATIENCE, client.call(self.build())).await;
-        let answer = answer.unwrap_or(Err(CallFailure::Cut)).map(|answer| {
-            let body = String::from_utf8_lossy(&answer.body).into_owned();
-            (answer.status.as_u16(), body)
-        });
+        let answer = answer
+            .unwrap_or(Err(CallFailure::Disconnected))
+            .map(|answer| {
+                let body = String::from_utf8_lossy(&answer.body).into_owned();
+                (answer.status.as_u16(), body)
+            });
         CallerRecord {
             node: self.node,
             node_run,
--- a/soak/src/checks.rs
+++ b/soak/src/checks.rs
@@ -131,7 +131,7 @@
     ran: &[&ExecutedRequest],
     history: &History,
 ) -> Option<Violation> {
-    if request.answer != Err(CallFailure::Cut) || ran.is_empty() {
+    if request.answer != Err(CallFailure::Disconnected) || ran.is_empty() {
         return None;
     }
     let of_node = history
--- a/soak/src/report.rs
+++ b/soak/src/report.rs
@@ -40,7 +40,7 @@
         for request in &history.requests {
             let end = match &request.answer {
                 Ok((status, _)) => status.to_string(),
-                Err(CallFailure::Cut) => "cut".to_owned(),
+                Err(CallFailure::Disconnected) => "cut".to_owned(),
                 Err(CallFailure::NotSent) => "not sent".to_owned(),
             };
             *ends.entry(end).or_insert(0) += 1;
--- a/soak/tests/checks.rs
+++ b/soak/tests/checks.rs
@@ -61,7 +61,10 @@
     assert_eq!(check_one("/look/1", Ok((200, "GET /look/1\n")), 2), [""; 0]);
     assert_eq!(check_one("/book/1", Ok((503, "")), 0), [""; 0]);
     assert_eq!(check_one("/book/1", Ok((502, "")), 1), [""; 0]);
-    assert_eq!(check_one("/book/1", Err(CallFailure::Cut), 0), [""; 0]);
+    assert_eq!(
+        check_one("/book/1", Err(CallFailure::Disconnected), 0),
+        [""; 0]
+    );
 }
 
 #[test]
@@ -90,7 +93,7 @@
         ["a route that is in force is never denied"]
     );
     assert_eq!(
-        check_one("/look/1", Err(CallFailure::Cut), 1),
+        check_one("/look/1", Err(CallFailure::Disconnected), 1),
         ["a request is answered"]
     );
     assert_eq!(
@@ -110,7 +113,7 @@
     let began = Instant::now();
     let now = began + 100 * MILLISECOND;
     let history = History {
-        requests: vec![request("/look/1", Err(CallFailure::Cut), now)],
+        requests: vec![request("/look/1", Err(CallFailure::Disconnected), now)],
         disturbances: vec![Disturbance {
             node: 1,
             from: began,
--- a/src/commands/dev.rs
+++ b/src/commands/dev.rs
@@ -6,7 +6,7 @@
 use crate::{
     local_mesh::{
         LOCAL_TOKEN, LocalMesh, LocalMeshError,
-        audit::{audit_calls, count_runs},
+        audit::{audit_calls, count_executions},
         load::{LoadPlan, run_load},
         plan::MeshPlan,
         ready::wait_until_ready,
@@ -107,9 +107,9 @@
     }
     let load = LoadPlan {
         kinds: build_call_kinds(&plan.configuration),
-        entries: mesh.caller_addresses(),
-        rate: arguments.load.unwrap_or(DEFAULT_LOAD),
-        span: Duration::from_secs(arguments.seconds.unwrap_or(DEFAULT_SECONDS)),
+        node_addresses: mesh.caller_addresses(),
+        calls_per_second: arguments.load.unwrap_or(DEFAULT_LOAD),
+        duration: Duration::from_secs(arguments.seconds.unwrap_or(DEFAULT_SECONDS)),
         seed: arguments.seed,
     };
     Ok(Ok(Some(run_dev_load(&mesh, &load))))
@@ -128,7 +128,7 @@
     let began = Instant::now();
     let records = run_load(load);
     let took = began.elapsed();
-    let audit = audit_calls(&load.kinds, &records, &count_runs(mesh));
+    let audit = audit_calls(&load.kinds, &records, &count_executions(mesh));
     DevReport::build(&load.kinds, &records, audit, took, mesh)
 }
 
@@ -151,14 +151,14 @@
             "  {:<13} {:<10} callers {}  operators {}",
             node.name(),
             node.plan.availability_zone,
-            node.clients,
-            node.operators
+            node.client_address,
+            node.operator_address
         )?;
     }
     let Some(first) = mesh.nodes.first() else {
         return Ok(());
     };
-    let (callers, operators) = (first.clients, first.operators);
+    let (callers, operators) = (first.client_address, first.operator_address);
     writeln!(
         out,
         "\nA lookup:\n  curl -i -H 'Host: frontdesk.example' 'http://{callers}/slots/?day=tuesday'"
--- a/src/commands/dev/deployments.rs
+++ b/src/commands/dev/deployments.rs
@@ -41,8 +41,8 @@
             service_time("/confirmations/", 8, 0.4),
         ],
     };
-    let mut nodes = frontdesk.nodes(seed.wrapping_add(1));
-    nodes.extend(dock.nodes(seed.wrapping_add(2)));
+    let mut nodes = frontdesk.build_nodes(seed.wrapping_add(1));
+    nodes.extend(dock.build_nodes(seed.wrapping_add(2)));
     MeshPlan {
         configuration: build_booking_configuration(),
         nodes,
--- a/src/commands/dev/report.rs
+++ b/src/commands/dev/report.rs
@@ -4,7 +4,7 @@
     local_mesh::{
         LocalMesh,
         audit::Audit,
-        client::ToldOutcome,
+        client::ReportedOutcome,
         load::{CallKind, CallRecord},
     },
     protocol::operator_views::compute_share,
@@ -112,11 +112,11 @@
         let mut on_target = 0;
         for record in records.iter().filter(|record| record.kind == index) {
             report.count(record);
-            if record.outcome == ToldOutcome::Answered {
-                let micros = u64::try_from(record.took.as_micros()).unwrap_or(u64::MAX);
+            if record.outcome == ReportedOutcome::Answered {
+                let micros = u64::try_from(record.latency.as_micros()).unwrap_or(u64::MAX);
                 // Fails only if the histogram can't grow, and this one may.
                 let _ = times.record(micros);
-                on_target += u64::from(record.took <= kind.target);
+                on_target += u64::from(record.latency <= kind.target);
             }
         }
         report.share_on_target = compute_share(on_target, report.calls);
@@ -129,12 +129,12 @@
     fn count(&mut self, record: &CallRecord) {
         self.calls += 1;
         match record.outcome {
-            ToldOutcome::Answered => self.answered += 1,
-            ToldOutcome::NotRun => self.not_run += 1,
-            ToldOutcome::Unknown => self.unknown += 1,
-            ToldOutcome::Rejected => self.rejected += 1,
+            ReportedOutcome::Answered => self.answered += 1,
+            ReportedOutcome::NotRun => self.not_run += 1,
+            ReportedOutcome::Unknown => self.unknown += 1,
+            ReportedOutcome::Rejected => self.rejected += 1,
         }
-        if record.outcome != ToldOutcome::Answered {
+        if record.outcome != ReportedOutcome::Answered {
             let reason = record
                 .reason
                 .clone()
@@ -176,7 +176,10 @@
         writeln!(
             f,
             "lost {}, doubled {}, run though told not run {}, mixed answers {}",
-            self.audit.lost, self.audit.doubled, self.audit.ran_after_all, self.audit.mixed
+            self.audit.lost,
+            self.audit.duplicated,
+            self.audit.wrongly_reported_not_run,
+            self.audit.wrong_answers
         )
     }
 }
--- a/src/local_mesh.rs
+++ b/src/local_mesh.rs
@@ -57,7 +57,7 @@
     /// If a port can't be bound or a thread not be started.
     pub fn start(plan: &MeshPlan) -> Result<Self, LocalMeshError> {
         let store = LocalStore::default();
-        store.publish_first(&describe_first(plan));
+        store.publish_initial(&describe_first(plan));
         let nodes = plan.nodes.iter();
         let nodes = nodes.map(|node| start_node(node, &store));
         Ok(Self {
@@ -69,20 +69,23 @@
     /// Operator addresses of all nodes.
     #[must_use]
     pub fn operator_addresses(&self) -> Vec<SocketAddr> {
-        self.nodes.iter().map(|node| node.operators).collect()
+        self.nodes
+            .iter()
+            .map(|node| node.operator_address)
+            .collect()
     }
 
     /// Addresses of all nodes for callers.
     #[must_use]
     pub fn caller_addresses(&self) -> Vec<SocketAddr> {
-        self.nodes.iter().map(|node| node.clients).collect()
+        self.nodes.iter().map(|node| node.client_address).collect()
     }
 
     /// Questions to upstreams for their load so far.
     #[must_use]
     pub fn count_probes(&self) -> u64 {
         let statuses = self.operator_addresses().into_iter();
-        let statuses = statuses.filter_map(ready::ask_status);
+        let statuses = statuses.filter_map(ready::fetch_status);
         let probes = |status: NodeStatus| status.upstream.map_or(0, |upstream| upstream.probes);
         statuses.map(probes).sum()
     }
--- a/src/local_mesh/audit.rs
+++ b/src/local_mesh/audit.rs
@@ -2,7 +2,7 @@
 
 use crate::local_mesh::{
     LocalMesh,
-    client::ToldOutcome,
+    client::ReportedOutcome,
     load::{CallKind, CallRecord},
 };
 use serde::Serialize;
@@ -15,11 +15,14 @@
     /// Told `answered`, but no upstream ran it.
     pub lost: u64,
     /// Not idempotent, and run more than once.
-    pub doubled: u64,
+    #[serde(rename = "doubled")]
+    pub duplicated: u64,
     /// Told `not run`, but an upstream ran it.
-    pub ran_after_all: u64,
+    #[serde(rename = "ran_after_all")]
+    pub wrongly_reported_not_run: u64,
     /// Got another call's answer, or a part of one.
-    pub mixed: u64,
+    #[serde(rename = "mixed")]
+    pub wrong_answers: u64,
 }
 
 impl Audit {
@@ -31,14 +34,14 @@
 }
 
 /// Number of runs of each marked call.
-pub type RunCounts = BTreeMap<Uuid, u32>;
+pub type ExecutionCounts = BTreeMap<Uuid, u32>;
 
 /// Runs of every marked call at all upstreams of the mesh.
 #[must_use]
-pub fn count_runs(mesh: &LocalMesh) -> RunCounts {
-    let mut counts = RunCounts::new();
+pub fn count_executions(mesh: &LocalMesh) -> ExecutionCounts {
+    let mut counts = ExecutionCounts::new();
     for node in &mesh.nodes {
-        let runs = node.runs.lock();
+        let runs = node.executions.lock();
         let runs = runs.unwrap_or_else(PoisonError::into_inner);
         for mark in runs.iter().filter_map(|run| find_mark(&run.target)) {
             *counts.entry(mark).or_insert(0) += 1;
@@ -54,15 +57,19 @@
 
 /// Judges the records of a load.
 #[must_use]
-pub fn audit_calls(kinds: &[CallKind], records: &[CallRecord], runs: &RunCounts) -> Audit {
+pub fn audit_calls(kinds: &[CallKind], records: &[CallRecord], runs: &ExecutionCounts) -> Audit {
     let mut audit = Audit::default();
     for record in records {
-        let ran = runs.get(&record.mark).copied().unwrap_or(0);
-        let refused = matches!(record.outcome, ToldOutcome::NotRun | ToldOutcome::Rejected);
-        audit.lost += u64::from(record.outcome == ToldOutcome::Answered && ran == 0);
-        audit.doubled += u64::from(!kinds[record.kind].idempotent && ran > 1);
-        audit.ran_after_all += u64::from(refused && !kinds[record.kind].idempotent && ran > 0);
-        audit.mixed += u64::from(!record.own_answer);
+        let ran = runs.get(&record.call_id).copied().unwrap_or(0);
+        let refused = matches!(
+            record.outcome,
+            ReportedOutcome::NotRun | ReportedOutcome::Rejected
+        );
+        audit.lost += u64::from(record.outcome == ReportedOutcome::Answered && ran == 0);
+        audit.duplicated += u64::from(!kinds[record.kind].idempotent && ran > 1);
+        audit.wrongly_reported_not_run +=
+            u64::from(refused && !kinds[record.kind].idempotent && ran > 0);
+        audit.wrong_answers += u64::from(!record.answer_matches);
     }
     audit
 }
--- a/src/local_mesh/client.rs
+++ b/src/local_mesh/client.rs
@@ -38,12 +38,12 @@
     /// No byte of the call was written.
     NotSent,
     /// The connection ended before a whole reply.
-    Cut,
+    Disconnected,
 }
 
 /// The outcome that a caller was told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum ToldOutcome {
+pub enum ReportedOutcome {
     /// An upstream's answer.
     Answered,
     /// It did not run.
@@ -57,12 +57,14 @@
 impl CallerAnswer {
     /// The outcome that the status tells.
     #[must_use]
-    pub fn outcome(&self) -> ToldOutcome {
+    pub fn outcome(&self) -> ReportedOutcome {
         match self.status {
-            StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS => ToldOutcome::NotRun,
-            StatusCode::BAD_GATEWAY | StatusCode::GATEWAY_TIMEOUT => ToldOutcome::Unknown,
-            status if status.is_client_error() => ToldOutcome::Rejected,
-            _ => ToldOutcome::Answered,
+            StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS => {
+                ReportedOutcome::NotRun
+            }
+            StatusCode::BAD_GATEWAY | StatusCode::GATEWAY_TIMEOUT => ReportedOutcome::Unknown,
+            status if status.is_client_error() => ReportedOutcome::Rejected,
+            _ => ReportedOutcome::Answered,
         }
     }
 
@@ -109,10 +111,13 @@
         let sent = tx.try_send_request(req).await;
         let answer = sent.map_err(|mut error| match error.take_message() {
             Some(_) => CallFailure::NotSent,
-            None => CallFailure::Cut,
+            None => CallFailure::Disconnected,
         })?;
         let (parts, body) = answer.into_parts();
-        let body = body.collect().await.map_err(|_| CallFailure::Cut)?;
+        let body = body
+            .collect()
+            .await
+            .map_err(|_| CallFailure::Disconnected)?;
         let body = body.to_bytes();
         self.idle.borrow_mut().push(tx);
         Ok(CallerAnswer {
--- a/src/local_mesh/load.rs
+++ b/src/local_mesh/load.rs
@@ -1,7 +1,7 @@
 //! A seeded open-loop load: calls start at their scheduled time, whether or not earlier ones ended.
 
 use crate::{
-    local_mesh::client::{CallerAnswer, CallerCall, CallerClient, ToldOutcome},
+    local_mesh::client::{CallerAnswer, CallerCall, CallerClient, ReportedOutcome},
     options::proxy_settings::HeaderNames,
     state::names::ClassName,
 };
@@ -44,11 +44,11 @@
     /// Kinds of calls, at least one.
     pub kinds: Vec<CallKind>,
     /// Where callers connect; each call picks one at random.
-    pub entries: Vec<SocketAddr>,
+    pub node_addresses: Vec<SocketAddr>,
     /// Calls a second.
-    pub rate: f64,
+    pub calls_per_second: f64,
     /// How long calls are started.
-    pub span: Duration,
+    pub duration: Duration,
     /// Seed of the choice of kind, entry and time.
     pub seed: u64,
 }
@@ -59,19 +59,19 @@
     /// Position in [`LoadPlan::kinds`].
     pub kind: usize,
     /// Unique in this process; upstreams record it as part of the path.
-    pub mark: Uuid,
+    pub call_id: Uuid,
     /// Start, since the load's start.
-    pub started: Duration,
+    pub scheduled_start: Duration,
     /// Time until the reply was complete, from the scheduled start.
-    pub took: Duration,
+    pub latency: Duration,
     /// What the caller was told.
-    pub outcome: ToldOutcome,
+    pub outcome: ReportedOutcome,
     /// HTTP status; 0 if there was no reply.
     pub status: u16,
     /// Why not run, or why unknown.
     pub reason: Option<String>,
     /// Whether an answer was the one to this very call.
-    pub own_answer: bool,
+    pub answer_matches: bool,
 }
 
 /// Runs a load on a thread of its own and returns every call's record.
@@ -93,7 +93,7 @@
 async fn start_calls(plan: LoadPlan) -> Vec<CallRecord> {
     let mut rng = StdRng::seed_from_u64(plan.seed);
     let clients: Vec<CallerClient> = plan
-        .entries
+        .node_addresses
         .iter()
         .copied()
         .map(CallerClient::new)
@@ -102,7 +102,7 @@
     let began = Instant::now();
     let mut due = Duration::ZERO;
     let mut calls = Vec::new();
-    while due < plan.span {
+    while due < plan.duration {
         tokio::time::sleep_until((began + due).into()).await;
         let kind = pick_kind(&plan.kinds, &mut rng);
         let client = clients[rng.random_range(0..clients.len())].clone();
@@ -119,7 +119,7 @@
             records.borrow_mut().push(record);
         }));
         // Exponential gaps: callers do not agree with one another on when to call.
-        let gap = -(1.0 - rng.random::<f64>()).ln() / plan.rate;
+        let gap = -(1.0 - rng.random::<f64>()).ln() / plan.calls_per_second;
         due += Duration::from_secs_f64(gap);
     }
     for call in calls {
@@ -151,22 +151,22 @@
         let answer = client.call(self.build(spec)).await.ok();
         let took = self.began.elapsed().saturating_sub(self.due);
         let mark = self.mark.to_string();
-        let answered = |outcome| outcome == ToldOutcome::Answered;
+        let answered = |outcome| outcome == ReportedOutcome::Answered;
         let outcome = answer
             .as_ref()
-            .map_or(ToldOutcome::Unknown, CallerAnswer::outcome);
+            .map_or(ReportedOutcome::Unknown, CallerAnswer::outcome);
         let own_answer = answer.as_ref().is_some_and(|answer| {
             !answered(outcome) || String::from_utf8_lossy(&answer.body).contains(&mark)
         });
         CallRecord {
             kind: self.kind,
-            mark: self.mark,
-            started: self.due,
-            took,
+            call_id: self.mark,
+            scheduled_start: self.due,
+            latency: took,
             outcome,
             status: answer.as_ref().map_or(0, |answer| answer.status.as_u16()),
             reason: answer.as_ref().and_then(CallerAnswer::reason),
-            own_answer: own_answer || answer.is_none(),
+            answer_matches: own_answer || answer.is_none(),
         }
     }
 
--- a/src/local_mesh/node.rs
+++ b/src/local_mesh/node.rs
@@ -64,13 +64,13 @@
     /// What it was started from.
     pub plan: NodePlan,
     /// Where callers connect.
-    pub clients: SocketAddr,
+    pub client_address: SocketAddr,
     /// Where operators' tools connect.
-    pub operators: SocketAddr,
+    pub operator_address: SocketAddr,
     /// Where the upstream listens.
-    pub upstream: SocketAddr,
+    pub upstream_address: SocketAddr,
     /// What the upstream ran.
-    pub runs: ExecutionLog,
+    pub executions: ExecutionLog,
     stop: Sender<Order>,
     server: Option<OperatorServer>,
     thread: Option<JoinHandle<()>>,
@@ -153,10 +153,10 @@
     let started = started.recv().map_err(|_| LocalMeshError::Ended)??;
     Ok(LocalNode {
         plan: plan.clone(),
-        clients: started.clients,
-        operators: started.operators,
-        upstream: started.upstream,
-        runs,
+        client_address: started.clients,
+        operator_address: started.operators,
+        upstream_address: started.upstream,
+        executions: runs,
         stop,
         server: Some(started.server),
         thread: Some(thread),
--- a/src/local_mesh/plan.rs
+++ b/src/local_mesh/plan.rs
@@ -50,7 +50,7 @@
 impl ServicePlan {
     /// The nodes of the service, named `SERVICE-1` and on.
     #[must_use]
-    pub fn nodes(&self, seed: u64) -> Vec<NodePlan> {
+    pub fn build_nodes(&self, seed: u64) -> Vec<NodePlan> {
         let numbers = 1..=self.upstreams;
         let zones = self.availability_zones.iter().cycle();
         let build = |(number, zone): (usize, &AvailabilityZoneName)| NodePlan {
--- a/src/local_mesh/ready.rs
+++ b/src/local_mesh/ready.rs
@@ -15,7 +15,7 @@
 
 /// What a node says of itself; none if it can't be reached.
 #[must_use]
-pub fn ask_status(operators: SocketAddr) -> Option<NodeStatus> {
+pub fn fetch_status(operators: SocketAddr) -> Option<NodeStatus> {
     let answer = attohttpc::get(format!("http://{operators}/status"))
         .bearer_auth(LOCAL_TOKEN)
         .timeout(ANSWER_TIMEOUT)
@@ -46,7 +46,7 @@
     while !ready && timers.now().since(Timestamp::default()) < timeout {
         ready = addresses
             .iter()
-            .all(|address| ask_status(*address).is_some_and(|status| holds(&status)));
+            .all(|address| fetch_status(*address).is_some_and(|status| holds(&status)));
         // The service runs until it is stopped below.
         let _ = ticks.recv();
     }
--- a/src/local_mesh/store.rs
+++ b/src/local_mesh/store.rs
@@ -30,9 +30,9 @@
 pub enum StoreCondition {
     /// It answers.
     #[default]
-    Well,
+    Available,
     /// It refuses every call.
-    Away,
+    Unavailable,
     /// It does what it is asked, and no answer comes.
     LosesAnswers,
 }
@@ -55,7 +55,7 @@
 
 impl LocalStore {
     /// Stores the configuration that a mesh starts with.
-    pub fn publish_first(&self, record: &PublishedRecord) {
+    pub fn publish_initial(&self, record: &PublishedRecord) {
         // The type holds nothing that JSON can't.
         let value = serde_json::to_vec(record).unwrap_or_default();
         self.append(StoreTopic::Configuration, CONFIGURATION_KEY, &value);
@@ -73,7 +73,7 @@
 
     fn check(&self) -> Result<StoreCondition, StoreError> {
         match self.lock().condition {
-            StoreCondition::Away => Err(StoreError::NotDone("away".to_owned())),
+            StoreCondition::Unavailable => Err(StoreError::NotDone("away".to_owned())),
             condition => Ok(condition),
         }
     }
@@ -135,7 +135,7 @@
 fn answer<T>(condition: StoreCondition, value: T) -> Result<T, StoreError> {
     match condition {
         StoreCondition::LosesAnswers => Err(StoreError::NoAnswer),
-        StoreCondition::Well | StoreCondition::Away => Ok(value),
+        StoreCondition::Available | StoreCondition::Unavailable => Ok(value),
     }
 }
 
--- a/tests/integration/local_mesh.rs
+++ b/tests/integration/local_mesh.rs
@@ -7,10 +7,10 @@
     coordination::publishing::{PublicationOutcome, PublicationRequest},
     local_mesh::{
         LOCAL_TOKEN, LocalMesh,
-        audit::{audit_calls, count_runs},
-        client::ToldOutcome,
+        audit::{audit_calls, count_executions},
+        client::ReportedOutcome,
         load::{CallRecord, LoadPlan, run_load},
-        ready::{ask_status, wait_for_all, wait_until_ready},
+        ready::{fetch_status, wait_for_all, wait_until_ready},
         store::StoreCondition,
     },
     options::access::OperatorAccess,
@@ -32,9 +32,9 @@
 fn plan_load(mesh: &LocalMesh, seed: u64) -> LoadPlan {
     LoadPlan {
         kinds: build_call_kinds(&build_booking_configuration()),
-        entries: mesh.caller_addresses(),
-        rate: 150.0,
-        span: Duration::from_secs(1),
+        node_addresses: mesh.caller_addresses(),
+        calls_per_second: 150.0,
+        duration: Duration::from_secs(1),
         seed,
     }
 }
@@ -46,7 +46,7 @@
     })
 }
 
-fn count(records: &[CallRecord], outcome: ToldOutcome) -> usize {
+fn count(records: &[CallRecord], outcome: ReportedOutcome) -> usize {
     let told = records.iter().filter(|record| record.outcome == outcome);
     told.count()
 }
@@ -68,13 +68,13 @@
     let mesh = start_mesh();
     let load = plan_load(&mesh, 1);
     let records = run_load(&load);
-    let audit = audit_calls(&load.kinds, &records, &count_runs(&mesh));
+    let audit = audit_calls(&load.kinds, &records, &count_executions(&mesh));
     assert!(audit.is_clean(), "{audit:?}");
-    assert_eq!(count(&records, ToldOutcome::Answered), records.len());
+    assert_eq!(count(&records, ReportedOutcome::Answered), records.len());
     let requests: u64 = mesh
         .operator_addresses()
         .into_iter()
-        .filter_map(ask_status)
+        .filter_map(fetch_status)
         .flat_map(|status| status.classes)
         .map(|class| class.requests)
         .sum();
@@ -117,7 +117,7 @@
         in_force: version,
     };
     assert_eq!(outcome, Ok(accepted));
-    mesh.store.set_condition(StoreCondition::Well);
+    mesh.store.set_condition(StoreCondition::Available);
     let history = client(&mesh)
         .fetch_history(operators[0])
         .expect("a history");
@@ -128,7 +128,7 @@
 fn publication_store_away_changes_nothing() {
     let mesh = start_mesh();
     let operators = mesh.operator_addresses();
-    mesh.store.set_condition(StoreCondition::Away);
+    mesh.store.set_condition(StoreCondition::Unavailable);
     let outcome = client(&mesh).publish(operators[0], &publication(1, 70));
     assert!(
         matches!(outcome, Ok(PublicationOutcome::NotStored { .. })),
@@ -136,9 +136,9 @@
     );
     let load = plan_load(&mesh, 2);
     let records = run_load(&load);
-    assert_eq!(count(&records, ToldOutcome::Answered), records.len());
-    mesh.store.set_condition(StoreCondition::Well);
-    let status = ask_status(operators[0]).expect("a status");
+    assert_eq!(count(&records, ReportedOutcome::Answered), records.len());
+    mesh.store.set_condition(StoreCondition::Available);
+    let status = fetch_status(operators[0]).expect("a status");
     assert_eq!(status.version, ConfigurationVersion(1));
 }
 
@@ -149,13 +149,15 @@
     let mesh = start_mesh();
     let drained = &mesh.nodes[8];
     assert_eq!(drained.name().as_str(), "dock-3");
-    let condition = client(&mesh).start_drain(drained.operators).expect("taken");
+    let condition = client(&mesh)
+        .start_drain(drained.operator_address)
+        .expect("taken");
     assert!(condition.leaving);
-    let before = drained.runs.lock().expect("no panic").len();
+    let before = drained.executions.lock().expect("no panic").len();
     let load = plan_load(&mesh, 3);
     let records = run_load(&load);
-    assert_eq!(count(&records, ToldOutcome::Answered), records.len());
-    assert_eq!(drained.runs.lock().expect("no panic").len(), before);
+    assert_eq!(count(&records, ReportedOutcome::Answered), records.len());
+    assert_eq!(drained.executions.lock().expect("no panic").len(), before);
 }
 
 /// Symptom: a planned stop cuts requests off. Sequence: one node is told to stop while callers send to it
@@ -168,11 +170,11 @@
     let sender = thread::spawn(move || run_load(&load));
     mesh.nodes[1].stop();
     let records = sender.join().expect("a load");
-    let audit = audit_calls(&kinds, &records, &count_runs(&mesh));
+    let audit = audit_calls(&kinds, &records, &count_executions(&mesh));
     assert!(audit.is_clean(), "{audit:?}");
     let unknown = records
         .iter()
-        .filter(|record| record.outcome == ToldOutcome::Unknown && record.status != 0);
+        .filter(|record| record.outcome == ReportedOutcome::Unknown && record.status != 0);
     assert_eq!(unknown.count(), 0);
 }
 
@@ -186,6 +188,13 @@
     let sender = thread::spawn(move || run_load(&load));
     mesh.nodes[7].kill();
     let records = sender.join().expect("a load");
-    let audit = audit_calls(&kinds, &records, &count_runs(&mesh));
-    assert_eq!((audit.doubled, audit.ran_after_all, audit.mixed), (0, 0, 0));
+    let audit = audit_calls(&kinds, &records, &count_executions(&mesh));
+    assert_eq!(
+        (
+            audit.duplicated,
+            audit.wrongly_reported_not_run,
+            audit.wrong_answers
+        ),
+        (0, 0, 0)
+    );
 }
