--- a/src/commands/check.rs
+++ b/src/commands/check.rs
@@ -1,4 +1,4 @@
-//! `camphorturn check`: every finding about configurations.
+//! `camphorturn check`: reports all findings about configuration files.
 
 use crate::options::{
     checked_file::{check_configuration, read_file},
@@ -15,7 +15,7 @@
 /// Arguments of `check`.
 #[derive(Clone, Debug, Bpaf)]
 pub struct CheckArguments {
-    /// Print one JSON object in place of lines
+    /// Print one JSON object instead of text
     pub json: bool,
     /// Configurations to publish, JSON with comments
     #[bpaf(positional("FILE"), some("name at least one file"))]
@@ -32,11 +32,11 @@
 #[derive(Debug, Serialize)]
 struct FileReport {
     file: String,
-    /// Whether it can be published.
+    /// Whether the file can be published.
     usable: bool,
 }
 
-/// Checks all files and writes the findings about them to `out`.
+/// Checks all files and writes the findings about them to `out`. The exit code is `BadInput` if there are any.
 ///
 /// # Errors
 /// Only if `out` can't be written to.
--- a/src/commands/dev.rs
+++ b/src/commands/dev.rs
@@ -1,4 +1,4 @@
-//! `camphorturn dev`: a whole mesh in one process, to look at and to load.
+//! `camphorturn dev`: runs a whole mesh in one process, to try it out or to put load on it.
 
 pub mod deployments;
 pub mod report;
@@ -27,44 +27,46 @@
 };
 use thiserror::Error;
 
-/// How long the mesh may take until every node knows every other one and the configuration.
+/// Time limit for every node to learn of every other node and of the configuration.
 const READY_TIMEOUT: Duration = Duration::from_secs(20);
-/// Calls a second if none are given.
-const DEFAULT_LOAD: f64 = 200.0;
-/// Length of a load if none is given, in seconds.
-const DEFAULT_SECONDS: u64 = 10;
+/// Load in calls per second if none is given.
+const DEFAULT_CALLS_PER_SECOND: f64 = 200.0;
+/// Duration of the load in seconds if none is given.
+const DEFAULT_LOAD_SECONDS: u64 = 10;
 
 /// Arguments of `dev`.
 #[derive(Clone, Debug, Bpaf)]
 pub struct DevArguments {
-    /// Run for this many seconds in place of until Ctrl-C, with a load and a report at the end
+    /// Run for this many seconds with a load, then print a report, instead of running until Ctrl-C
     #[bpaf(long("for"), argument("SECONDS"), optional)]
     pub seconds: Option<u64>,
-    /// Calls a second of the load
+    /// Load in calls per second
     #[bpaf(argument("CALLS_PER_SECOND"), optional)]
     pub load: Option<f64>,
-    /// Seed of the load and of the upstreams' service times
+    /// Seed for the random numbers of the load and of the upstreams' service times
     #[bpaf(argument("SEED"), fallback(1))]
     pub seed: u64,
     /// Print the report as JSON
     pub json: bool,
 }
 
-/// `dev` could not do its work.
+/// Reasons why `dev` failed.
 #[derive(Debug, Error)]
 pub enum DevError {
     /// The mesh could not be started.
     #[error(transparent)]
     Start(#[from] LocalMeshError),
-    /// The nodes did not find each other.
+    /// The nodes did not learn of each other and of the configuration in time.
     #[error("the mesh was not ready within {} s", READY_TIMEOUT.as_secs())]
     NotReady,
-    /// Signals can't be waited for.
-    #[error("can't wait for signals: {0}")]
+    /// Waiting for signals failed.
+    #[error("failed to wait for signals: {0}")]
     Signals(#[from] io::Error),
 }
 
-/// Runs the mesh until the time is over or Ctrl-C is pressed, and reports on the load to `out`.
+/// Runs the mesh with a load for the given time and writes a report to `out`; with neither `--load` nor `--for`, runs it
+/// until Ctrl-C and writes no report. The exit code is `Failed` if the mesh could not be started or the report shows a
+/// fault.
 ///
 /// # Errors
 /// Only if `out` can't be written to.
@@ -100,7 +102,7 @@
         Err(error) => return Ok(Err(error)),
     };
     if !arguments.json {
-        write_directions(&mesh, out)?;
+        write_instructions(&mesh, out)?;
     }
     if arguments.load.is_none() && arguments.seconds.is_none() {
         return Ok(wait_for_signal().map(|()| None));
@@ -108,8 +110,8 @@
     let load = LoadPlan {
         kinds: build_call_kinds(&plan.configuration),
         node_addresses: mesh.caller_addresses(),
-        calls_per_second: arguments.load.unwrap_or(DEFAULT_LOAD),
-        duration: Duration::from_secs(arguments.seconds.unwrap_or(DEFAULT_SECONDS)),
+        calls_per_second: arguments.load.unwrap_or(DEFAULT_CALLS_PER_SECOND),
+        duration: Duration::from_secs(arguments.seconds.unwrap_or(DEFAULT_LOAD_SECONDS)),
         seed: arguments.seed,
     };
     Ok(Ok(Some(run_dev_load(&mesh, &load))))
@@ -134,16 +136,16 @@
 
 fn wait_for_signal() -> Result<(), DevError> {
     let mut signals = Signals::new([SIGINT, SIGTERM])?;
-    // One signal is enough; the iterator blocks until it comes.
+    // Blocks until one signal arrives.
     let _ = signals.forever().next();
     Ok(())
 }
 
-fn write_directions(mesh: &LocalMesh, out: &mut dyn Write) -> io::Result<()> {
+fn write_instructions(mesh: &LocalMesh, out: &mut dyn Write) -> io::Result<()> {
     let nodes = mesh.nodes.len();
     writeln!(
         out,
-        "camphorturn dev: {nodes} nodes on loopback, Ctrl-C ends them"
+        "camphorturn dev: {nodes} nodes on loopback, Ctrl-C stops them"
     )?;
     for node in &mesh.nodes {
         writeln!(
@@ -161,26 +163,26 @@
     let (callers, operators) = (first.client_address, first.operator_address);
     writeln!(
         out,
-        "\nA lookup:\n  curl -i -H 'Host: frontdesk.example' 'http://{callers}/slots/?day=tuesday'"
+        "\nTo send a lookup:\n  curl -i -H 'Host: frontdesk.example' 'http://{callers}/slots/?day=tuesday'"
     )?;
     writeln!(
         out,
-        "A booking, sent to a second upstream only on proof that the first did not run it:"
+        "To send a booking, which is retried at another upstream only if the first one certainly did not execute it:"
     )?;
     writeln!(
         out,
         "  curl -i -H 'Host: frontdesk.example' -d '{{\"slot\":7}}' http://{callers}/bookings/"
     )?;
-    let program = find_program();
+    let program = find_program_path();
     let access = format!("--node {operators} --token {LOCAL_TOKEN}");
-    writeln!(out, "What the nodes say:")?;
+    writeln!(out, "To inspect the nodes:")?;
     writeln!(out, "  {program} status {access}")?;
     writeln!(out, "  {program} timeline {access}")?;
     writeln!(out, "  {program} explain {access} REQUEST\n")
 }
 
-/// The path by which this program was started: it need not be on the search path.
-fn find_program() -> String {
+/// Returns the path by which this program was started, since it need not be on the search path.
+fn find_program_path() -> String {
     let path = env::args().next();
     path.unwrap_or_else(|| "camphorturn".to_owned())
 }
--- a/src/commands/dev/deployments.rs
+++ b/src/commands/dev/deployments.rs
@@ -1,4 +1,4 @@
-//! The two services of dev mode: a front desk with 6 upstreams and a dock with 3.
+//! The two sample services of dev mode: a front desk with 6 upstreams and a dock with 3.
 
 use crate::{
     local_mesh::{
@@ -14,31 +14,32 @@
 use http::Method;
 use std::time::Duration;
 
-/// Slots of every upstream.
-const SLOTS: u16 = 6;
+/// Number of slots of every upstream.
+const SLOTS_PER_UPSTREAM: u16 = 6;
 
-/// Two services with three availability zones each.
+/// Builds the plan of a mesh with two services in three availability zones each. `seed` determines the random service
+/// times of the upstreams.
 #[must_use]
 pub fn build_booking_mesh_plan(seed: u64) -> MeshPlan {
     let frontdesk = ServicePlan {
         service: ServiceName::from("frontdesk"),
         upstreams: 6,
-        slots: SLOTS,
-        availability_zones: name_zones(["yxe-a", "yxe-b", "yqr-a"]),
+        slots: SLOTS_PER_UPSTREAM,
+        availability_zones: build_zone_names(["yxe-a", "yxe-b", "yqr-a"]),
         service_times: vec![
-            service_time("/slots/", 3, 0.4),
-            service_time("/bookings/", 8, 0.4),
+            build_service_time("/slots/", 3, 0.4),
+            build_service_time("/bookings/", 8, 0.4),
         ],
     };
     let dock = ServicePlan {
         service: ServiceName::from("dock"),
         upstreams: 3,
-        slots: SLOTS,
-        availability_zones: name_zones(["qc-east-a", "qc-east-b", "qc-east-c"]),
+        slots: SLOTS_PER_UPSTREAM,
+        availability_zones: build_zone_names(["qc-east-a", "qc-east-b", "qc-east-c"]),
         service_times: vec![
-            service_time("/berths/", 3, 0.4),
-            service_time("/tides/", 1, 0.2),
-            service_time("/confirmations/", 8, 0.4),
+            build_service_time("/berths/", 3, 0.4),
+            build_service_time("/tides/", 1, 0.2),
+            build_service_time("/confirmations/", 8, 0.4),
         ],
     };
     let mut nodes = frontdesk.build_nodes(seed.wrapping_add(1));
@@ -49,11 +50,11 @@
     }
 }
 
-fn name_zones(names: [&str; 3]) -> Vec<AvailabilityZoneName> {
+fn build_zone_names(names: [&str; 3]) -> Vec<AvailabilityZoneName> {
     names.into_iter().map(AvailabilityZoneName::from).collect()
 }
 
-fn service_time(path_prefix: &str, median_ms: u64, spread: f64) -> ServiceTime {
+fn build_service_time(path_prefix: &str, median_ms: u64, spread: f64) -> ServiceTime {
     ServiceTime {
         path_prefix: path_prefix.to_owned(),
         median: Duration::from_millis(median_ms),
@@ -61,7 +62,7 @@
     }
 }
 
-/// The classes of both services.
+/// Builds a configuration with the classes of both services.
 #[must_use]
 pub fn build_booking_configuration() -> Configuration {
     let services = ["frontdesk", "dock"].map(|name| ServiceEntry {
@@ -104,7 +105,7 @@
     }
 }
 
-/// A kind of call for every class, reads four times as often as writes.
+/// Builds a kind of call for every class. Idempotent calls are made four times as often as the others.
 #[must_use]
 pub fn build_call_kinds(configuration: &Configuration) -> Vec<CallKind> {
     let build = |class: &ClassEntry| CallKind {
--- a/src/commands/dev/report.rs
+++ b/src/commands/dev/report.rs
@@ -1,4 +1,4 @@
-//! What a load on a local mesh showed.
+//! Report on a load that was put on a local mesh.
 
 use crate::{
     local_mesh::{
@@ -14,53 +14,53 @@
 use serde::Serialize;
 use std::{collections::BTreeMap, fmt, time::Duration};
 
-/// Precision of times, in decimal digits.
-const DIGITS: u8 = 3;
+/// Precision of the histogram of durations, in significant decimal digits.
+const HISTOGRAM_DIGITS: u8 = 3;
 
-/// Calls of one class.
+/// Results of the calls of one class.
 #[derive(Clone, Debug, Serialize)]
 pub struct ClassReport {
-    /// The class.
+    /// Name of the class.
     pub class: ClassName,
-    /// Calls made.
+    /// Number of calls made.
     pub calls: u64,
-    /// Told `answered`.
+    /// Calls that were answered.
     pub answered: u64,
-    /// Told `not run`.
+    /// Calls that the node reported as not executed.
     pub not_run: u64,
-    /// Told `unknown`, or no reply.
+    /// Calls whose outcome the node reported as unknown, or that got no reply.
     pub unknown: u64,
-    /// Refused as malformed.
+    /// Calls that were rejected as malformed.
     pub rejected: u64,
-    /// Share of the calls made that were answered within the target.
+    /// Share of the calls made that were answered within the latency target.
     pub share_on_target: f64,
-    /// Median time of answered calls, in microseconds.
+    /// Median duration of answered calls, in microseconds.
     pub p50_micros: u64,
-    /// 99th percentile, in microseconds.
+    /// 99th percentile of the durations, in microseconds.
     pub p99_micros: u64,
-    /// 99.9th percentile, in microseconds.
+    /// 99.9th percentile of the durations, in microseconds.
     pub p999_micros: u64,
-    /// Reasons given for calls that were not answered, and how often.
+    /// Number of calls that were not answered, by reason.
     pub reasons: BTreeMap<String, u64>,
 }
 
-/// The whole load.
+/// Results of the whole load.
 #[derive(Clone, Debug, Serialize)]
 pub struct DevReport {
-    /// Calls of each class.
+    /// Results by class.
     pub classes: Vec<ClassReport>,
-    /// What went wrong, if anything.
+    /// Comparison of the outcomes that the callers saw with what the upstreams executed.
     pub audit: Audit,
-    /// Length of the run in seconds.
+    /// Duration of the load in seconds.
     pub seconds: f64,
-    /// Calls a second.
+    /// Calls made per second.
     pub calls_per_second: f64,
-    /// Probes sent by all nodes, over calls made.
+    /// Number of probes sent by all nodes, divided by the number of calls made.
     pub probes_per_call: f64,
 }
 
 impl DevReport {
-    /// Sums up the records of a load.
+    /// Builds the report from the records of the calls.
     #[must_use]
     pub fn build(
         kinds: &[CallKind],
@@ -83,7 +83,8 @@
         }
     }
 
-    /// Whether nothing was lost, doubled, mixed or wrongly called not run.
+    /// Whether no call was lost, executed twice, given the answer of another call, or executed though reported as not
+    /// executed.
     #[must_use]
     pub fn is_clean(&self) -> bool {
         self.audit.is_clean()
@@ -105,8 +106,8 @@
             p999_micros: 0,
             reasons: BTreeMap::new(),
         };
-        // Fails only for a precision above 5 digits.
-        let Ok(mut times) = Histogram::<u32>::new(DIGITS) else {
+        // `new` fails only for a precision above 5 digits.
+        let Ok(mut times) = Histogram::<u32>::new(HISTOGRAM_DIGITS) else {
             return report;
         };
         let mut on_target = 0;
@@ -114,7 +115,7 @@
             report.count(record);
             if record.outcome == ReportedOutcome::Answered {
                 let micros = u64::try_from(record.latency.as_micros()).unwrap_or(u64::MAX);
-                // Fails only if the histogram can't grow, and this one may.
+                // `record` fails only if the histogram can't grow; this one is resizable.
                 let _ = times.record(micros);
                 on_target += u64::from(record.latency <= kind.target);
             }
@@ -170,12 +171,12 @@
         }
         writeln!(
             f,
-            "\n{:.0} calls/s for {:.1} s; {:.4} questions for load a call",
+            "\n{:.0} calls/s for {:.1} s; {:.4} probes per call",
             self.calls_per_second, self.seconds, self.probes_per_call
         )?;
         writeln!(
             f,
-            "lost {}, doubled {}, run though told not run {}, mixed answers {}",
+            "lost {}, executed twice {}, executed though reported as not run {}, wrong answers {}",
             self.audit.lost,
             self.audit.duplicated,
             self.audit.wrongly_reported_not_run,
--- a/src/commands/drain.rs
+++ b/src/commands/drain.rs
@@ -1,4 +1,4 @@
-//! `camphorturn drain`: one node takes no new work and finishes what it has.
+//! `camphorturn drain`: makes one node refuse new work and finish the work that it has.
 
 use crate::{
     commands::mesh::{UnreachedNode, survey_nodes},
@@ -22,41 +22,42 @@
     /// How to reach the nodes.
     #[bpaf(external(access_arguments))]
     pub access: AccessArguments,
-    /// Print one JSON object in place of lines
+    /// Print one JSON object instead of text
     pub json: bool,
-    /// Name of the node, or its operators' address
+    /// Name of the node, or its address for operators
     #[bpaf(positional("NODE"))]
     pub target: String,
 }
 
-/// What `drain` did.
+/// Result of `drain`.
 #[derive(Debug, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum DrainReport {
-    /// The node drains.
+    /// The node is draining.
     Draining {
-        /// Where it was told.
+        /// Address for operators of the node.
         address: SocketAddr,
-        /// Its condition after that.
+        /// Its state after the request.
         condition: NodeHealth,
     },
     /// No reachable node knows the name.
     NoSuchNode {
-        /// The name.
+        /// Name that was given.
         target: String,
-        /// Nodes that did not answer; the one that was meant may be among them.
+        /// Names and addresses of nodes that did not answer. The node that was meant may be among them.
         unreached: Vec<String>,
     },
-    /// The node did not take the order.
-    NotTaken {
-        /// Where it was told.
+    /// The node rejected the request or could not be reached.
+    #[serde(rename = "not_taken")]
+    Failed {
+        /// Address for operators of the node.
         address: SocketAddr,
-        /// Why not.
+        /// Error message.
         problem: String,
     },
 }
 
-/// Finds the node and tells it to drain.
+/// Finds the node and requests that it drains.
 ///
 /// # Errors
 /// Only if `out` can't be written to.
@@ -75,7 +76,7 @@
     Ok(match report {
         DrainReport::Draining { .. } => ExitCode::Success,
         DrainReport::NoSuchNode { .. } => ExitCode::BadInput,
-        DrainReport::NotTaken { .. } => ExitCode::Unreachable,
+        DrainReport::Failed { .. } => ExitCode::Unreachable,
     })
 }
 
@@ -90,7 +91,7 @@
     };
     match client.start_drain(address) {
         Ok(condition) => DrainReport::Draining { address, condition },
-        Err(problem) => DrainReport::NotTaken {
+        Err(problem) => DrainReport::Failed {
             address,
             problem: problem.to_string(),
         },
@@ -118,7 +119,7 @@
     match report {
         DrainReport::Draining { address, condition } => writeln!(
             out,
-            "{address} takes no new work; {} requests run there, {} wait",
+            "{address} accepts no new work; {} requests are running there, {} are queued",
             condition.running, condition.queued
         ),
         DrainReport::NoSuchNode { target, unreached } => {
@@ -128,6 +129,6 @@
             }
             Ok(())
         }
-        DrainReport::NotTaken { address, problem } => writeln!(out, "{address}: {problem}"),
+        DrainReport::Failed { address, problem } => writeln!(out, "{address}: {problem}"),
     }
 }
--- a/src/commands/evacuate.rs
+++ b/src/commands/evacuate.rs
@@ -1,4 +1,4 @@
-//! `camphorturn evacuate`: an availability zone gets no requests until it is taken back.
+//! `camphorturn evacuate`: stops requests to an availability zone until it is restored.
 
 use crate::{
     options::{
@@ -17,7 +17,7 @@
     /// How to reach the nodes.
     #[bpaf(external(access_arguments))]
     pub access: AccessArguments,
-    /// Print one JSON object in place of lines
+    /// Print one JSON object instead of text
     pub json: bool,
     /// Send requests to the zone again
     pub take_back: bool,
@@ -26,7 +26,8 @@
     pub zone: String,
 }
 
-/// Has the first node that answers store the operator's word; the store brings it to all nodes.
+/// Sends the request to the given nodes in turn until one accepts it. That node writes the change to the store, from
+/// which all nodes receive it.
 ///
 /// # Errors
 /// Only if `out` can't be written to.
@@ -67,9 +68,12 @@
     }
     let zone = &arguments.zone;
     if arguments.take_back {
-        writeln!(out, "{zone} gets requests again")?;
+        writeln!(out, "{zone} receives requests again")?;
     } else {
-        writeln!(out, "{zone} gets no requests until it is taken back")?;
+        writeln!(
+            out,
+            "{zone} receives no requests until it is restored with --take-back"
+        )?;
     }
     for zone in view.zones.iter().filter(|other| other.as_str() != zone) {
         writeln!(out, "also evacuated: {zone}")?;
--- a/src/commands/explain.rs
+++ b/src/commands/explain.rs
@@ -1,4 +1,4 @@
-//! `camphorturn explain`: what became of one request and why, from the lines of all nodes.
+//! `camphorturn explain`: shows the outcome of one request and its cause, from the log lines of all nodes.
 
 use crate::{
     commands::{log_source::SourceArguments, timeline::page::write_page},
@@ -26,20 +26,20 @@
     /// How to reach nodes; without one, files or standard input are read.
     #[bpaf(external(access_arguments))]
     pub access: AccessArguments,
-    /// Print one JSON object in place of sentences
+    /// Print one JSON object instead of text
     pub json: bool,
-    /// Write a page with a lane for each node to this file as well
+    /// Also write an HTML page with a lane for each node to this file
     #[bpaf(argument("FILE"))]
     pub html: Option<PathBuf>,
-    /// Identity of the request, as its client sent it or its answer bears it
+    /// Id of the request, as sent by its client or returned in its answer
     #[bpaf(positional("REQUEST"))]
     pub request: String,
-    /// Files with the lines of nodes; without any, and without --node, standard input
+    /// Log files of nodes; without any, and without --node, standard input is read
     #[bpaf(positional("FILE"))]
     pub files: Vec<PathBuf>,
 }
 
-/// Tells what became of a request.
+/// Explains the outcome of a request. The exit code is `Failed` if no line mentions it.
 ///
 /// # Errors
 /// If `out` or the page can't be written to.
@@ -51,15 +51,15 @@
     let Some(collected) = source.collect_or_report()? else {
         return Ok(ExitCode::BadInput);
     };
-    let trace = trace_request(&collected.read.incarnations, &arguments.request);
+    let trace = trace_request(&collected.log.incarnations, &arguments.request);
     if let Some(path) = &arguments.html {
-        write_story_page(path, &collected.read.incarnations, &arguments.request)?;
+        write_trace_page(path, &collected.log.incarnations, &arguments.request)?;
     }
     if arguments.json {
         serde_json::to_writer_pretty(&mut *out, &trace)?;
         writeln!(out)?;
     } else {
-        write_story(&trace, out)?;
+        write_trace(&trace, out)?;
     }
     Ok(if trace.steps.is_empty() {
         ExitCode::Failed
@@ -68,17 +68,17 @@
     })
 }
 
-fn write_story(trace: &RequestTrace, out: &mut dyn Write) -> io::Result<()> {
+fn write_trace(trace: &RequestTrace, out: &mut dyn Write) -> io::Result<()> {
     if trace.steps.is_empty() {
-        writeln!(out, "No line tells of request {}.", trace.request)?;
+        writeln!(out, "No log line mentions request {}.", trace.request)?;
         return writeln!(
             out,
-            "Of requests that go as they should only a sample is written, and nodes leave out lines above \
-             their bounds."
+            "Nodes log only a sample of the requests that end normally, and suppress lines above their rate \
+             limits."
         );
     }
     let end = if trace.end.is_empty() {
-        "end not told"
+        "end not logged"
     } else {
         &trace.end
     };
@@ -86,10 +86,10 @@
     for cause in &trace.causes {
         writeln!(out, "  {cause}")?;
     }
-    writeln!(out, "\nSteps, in milliseconds since it came:")?;
+    writeln!(out, "\nSteps, in milliseconds since its arrival:")?;
     write_steps(&trace.steps, out)?;
     if !trace.state_changes.is_empty() {
-        writeln!(out, "\nWhat the nodes told of themselves at that time:")?;
+        writeln!(out, "\nState changes of the involved nodes at that time:")?;
         write_steps(&trace.state_changes, out)?;
     }
     if !trace.calls.is_empty() {
@@ -119,7 +119,7 @@
     Ok(())
 }
 
-fn write_story_page(
+fn write_trace_page(
     path: &Path,
     incarnations: &[NodeIncarnation],
     request: &str,
--- a/src/commands/history.rs
+++ b/src/commands/history.rs
@@ -1,4 +1,4 @@
-//! `camphorturn history`: who published what, when and why.
+//! `camphorturn history`: lists who published which configuration, when and why.
 
 use crate::{
     commands::publish::query_first,
@@ -21,11 +21,11 @@
     /// How to reach the nodes.
     #[bpaf(external(access_arguments))]
     pub access: AccessArguments,
-    /// Print one JSON object in place of lines
+    /// Print one JSON object instead of text
     pub json: bool,
 }
 
-/// Lists the publications that are remembered.
+/// Lists the publications that nodes remember.
 ///
 /// # Errors
 /// Only if `out` can't be written to.
--- a/src/commands/log_source.rs
+++ b/src/commands/log_source.rs
@@ -1,4 +1,4 @@
-//! Where the lines come from that a command reads: files, standard input, or nodes that run.
+//! Sources of log lines for commands: files, standard input, or running nodes.
 
 use crate::{
     commands::mesh::{MeshSurvey, query_all, survey_nodes},
@@ -18,26 +18,26 @@
 };
 use thiserror::Error;
 
-/// Arguments of every command that reads lines.
+/// Arguments of every command that reads log lines.
 #[derive(Clone, Debug, Default, Bpaf)]
 pub struct SourceArguments {
     /// How to reach nodes; without one, files or standard input are read.
     #[bpaf(external(access_arguments))]
     pub access: AccessArguments,
-    /// Files with the lines of nodes; without any, and without --node, standard input
+    /// Log files of nodes; without any, and without --node, standard input is read
     #[bpaf(positional("FILE"))]
     pub files: Vec<PathBuf>,
 }
 
-/// The lines can't be read.
+/// Reasons why lines can't be read.
 #[derive(Debug, Error)]
 pub enum SourceError {
     /// A file can't be read.
     #[error("can't read {path}: {error}", path = .path.display())]
     File {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// Why not.
+        /// Error of the operating system.
         error: io::Error,
     },
     /// Standard input can't be read.
@@ -48,47 +48,48 @@
     Access(#[from] AccessError),
 }
 
-/// Lines, and what is missing from them.
+/// Log lines that were read, and what is missing from them.
 #[derive(Clone, Debug, Default)]
 pub struct CollectedLines {
-    /// The lines by run.
-    pub read: ParsedLog,
-    /// Nodes that could not be asked, with the reason.
+    /// Lines by incarnation.
+    pub log: ParsedLog,
+    /// Nodes that could not be reached, each with its address and the reason.
     pub unreached: Vec<String>,
-    /// Lines that nodes no longer hold.
+    /// Number of lines that nodes no longer hold in memory.
     pub dropped: u64,
-    /// Lines that no node numbered, with their places.
-    pub passed_over: Vec<UnrecognizedLine>,
+    /// Lines that are not log lines of a node, with their positions.
+    pub unrecognized: Vec<UnrecognizedLine>,
 }
 
-/// A line that no node numbered.
+/// A line that is not a log line of a node.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct UnrecognizedLine {
-    /// The file, `standard input`, or the address of the node.
+    /// Path of the file, `standard input`, or the address of the node.
     pub source: String,
-    /// Number of the line there, from 1.
+    /// Line number in the source, from 1.
     pub line: usize,
-    /// The line.
+    /// Text of the line.
     pub text: String,
 }
 
-/// What one file, standard input or one node gave.
+/// Lines of one file, of standard input or of one node.
 struct SourceLines<'a> {
     source: String,
     lines: Vec<&'a str>,
 }
 
 impl SourceArguments {
-    /// Whether lines come from nodes that run.
+    /// Whether lines are read from running nodes.
     #[must_use]
     pub fn reads_from_nodes(&self) -> bool {
         !self.access.nodes.is_empty()
     }
 
-    /// Reads all lines there are, and tells the user what could not be read; none if nothing could.
+    /// Reads all lines and reports on standard error what is missing. Returns none, after reporting the error, if the
+    /// source can't be read.
     ///
     /// # Errors
-    /// If that can't be written.
+    /// If standard error can't be written to.
     pub fn collect_or_report(&self) -> io::Result<Option<CollectedLines>> {
         match self.collect() {
             Ok(collected) => {
@@ -102,7 +103,7 @@
         }
     }
 
-    /// Reads all lines there are.
+    /// Reads all lines from the source.
     ///
     /// # Errors
     /// If a file can't be read, or the arguments don't say how to reach nodes.
@@ -130,7 +131,7 @@
 }
 
 impl CollectedLines {
-    /// Says what is missing, apart from the lines, so that programs can read these.
+    /// Reports on standard error what is missing, so that standard output holds only what programs read.
     ///
     /// # Errors
     /// If standard error can't be written to.
@@ -143,40 +144,43 @@
             let dropped = self.dropped;
             writeln!(err, "nodes no longer hold {dropped} older lines")?;
         }
-        if self.read.unrecognized_lines > 0 {
-            let other = self.read.unrecognized_lines;
-            writeln!(err, "passed over {other} lines that no node numbered")?;
+        if self.log.unrecognized_lines > 0 {
+            let other = self.log.unrecognized_lines;
+            writeln!(
+                err,
+                "skipped {other} lines that are not log lines of a node"
+            )?;
         }
         Ok(())
     }
 
     fn read_all(&mut self, sources: &[SourceLines<'_>]) {
         let lines = sources.iter().flat_map(|source| &source.lines);
-        self.read = split_incarnations(lines.copied());
-        let places = self.read.unrecognized_positions.iter();
-        self.passed_over = places
-            .filter_map(|place| find_line(sources, *place))
+        self.log = split_incarnations(lines.copied());
+        let positions = self.log.unrecognized_positions.iter();
+        self.unrecognized = positions
+            .filter_map(|position| find_line(sources, *position))
             .collect();
     }
 }
 
-/// The line at a position in all sources together.
-fn find_line(sources: &[SourceLines<'_>], mut place: usize) -> Option<UnrecognizedLine> {
+/// Finds a line by its position in the concatenation of all sources.
+fn find_line(sources: &[SourceLines<'_>], mut position: usize) -> Option<UnrecognizedLine> {
     for source in sources {
-        if let Some(text) = source.lines.get(place) {
+        if let Some(text) = source.lines.get(position) {
             return Some(UnrecognizedLine {
                 source: source.source.clone(),
-                line: place + 1,
+                line: position + 1,
                 text: (*text).to_owned(),
             });
         }
-        place -= source.lines.len();
+        position -= source.lines.len();
     }
     None
 }
 
 fn read_lossy(path: &Path) -> Result<String, SourceError> {
-    // A process that was killed may have left half a character.
+    // A process that was killed may have written only a part of a multi-byte character.
     let bytes = fs::read(path).map_err(|error| SourceError::File {
         path: path.to_owned(),
         error,
@@ -192,7 +196,7 @@
     Ok(String::from_utf8_lossy(&bytes).into_owned())
 }
 
-/// Reads the lines that nodes keep, and remembers how far each was read.
+/// Reads the lines that nodes hold in memory, and remembers how far it has read each node.
 pub struct NodeLines {
     client: OperatorClient,
     seeds: Vec<SocketAddr>,
@@ -200,7 +204,7 @@
 }
 
 impl NodeLines {
-    /// A reader that has read nothing yet.
+    /// Creates a reader that has read nothing yet.
     ///
     /// # Errors
     /// If the arguments don't say how to reach nodes.
@@ -213,7 +217,7 @@
         })
     }
 
-    /// The lines since the last look.
+    /// Reads the lines that were written since the last call.
     pub fn collect(&mut self) -> CollectedLines {
         let survey = survey_nodes(&self.client, &self.seeds);
         let mut collected = CollectedLines {
@@ -244,7 +248,7 @@
         let from = self.next.get(&address).copied().unwrap_or_default();
         let page = self.client.fetch_log_lines(address, from)?;
         if page.next < from {
-            // Another run of the node counts from the beginning.
+            // The node was restarted and numbers its lines from the beginning.
             return self.client.fetch_log_lines(address, 0);
         }
         Ok(page)
--- a/src/commands/logs.rs
+++ b/src/commands/logs.rs
@@ -1,4 +1,4 @@
-//! `camphorturn logs`: what the lines of a whole run say.
+//! `camphorturn logs`: summarizes a whole log.
 
 use crate::{
     commands::log_source::{SourceArguments, source_arguments},
@@ -11,14 +11,14 @@
 /// Arguments of `logs`.
 #[derive(Clone, Debug, Bpaf)]
 pub struct LogsArguments {
-    /// Print one JSON object in place of text
+    /// Print one JSON object instead of text
     pub json: bool,
-    /// Where lines come from.
+    /// Source of the log lines.
     #[bpaf(external(source_arguments))]
     pub source: SourceArguments,
 }
 
-/// Sums up lines.
+/// Writes a summary of all lines. The exit code is `Failed` if there are none.
 ///
 /// # Errors
 /// If `out` can't be written to.
@@ -26,7 +26,7 @@
     let Some(collected) = arguments.source.collect_or_report()? else {
         return Ok(ExitCode::BadInput);
     };
-    let incarnations = &collected.read.incarnations;
+    let incarnations = &collected.log.incarnations;
     let summary = summarize_lines(incarnations, &order_lines(incarnations));
     if arguments.json {
         serde_json::to_writer_pretty(&mut *out, &summary)?;
--- a/src/commands/mesh.rs
+++ b/src/commands/mesh.rs
@@ -1,4 +1,4 @@
-//! Reaching all nodes from the few addresses that an operator gives.
+//! Discovery of all nodes of the mesh from the few addresses that an operator gives.
 
 use crate::{
     protocol::operator_views::NodeStatus,
@@ -12,20 +12,20 @@
     thread,
 };
 
-/// Nodes that are asked at the same time.
-const ASKED_AT_ONCE: usize = 16;
+/// Maximum number of nodes that are queried at the same time.
+const MAX_CONCURRENT_QUERIES: usize = 16;
 
 /// A node that answered.
 #[derive(Clone, Debug, Serialize)]
 pub struct ReachedNode {
-    /// Its operators' address.
+    /// Address for operators of the node.
     pub address: SocketAddr,
-    /// What it tells.
+    /// Status that the node reported.
     pub status: NodeStatus,
 }
 
 impl ReachedNode {
-    /// The node's name, or its address if it told none.
+    /// Name of the node, or its address if it reported no name.
     #[must_use]
     pub fn label(&self) -> String {
         let name = self.status.node.as_ref();
@@ -36,18 +36,18 @@
 /// A node that did not answer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct UnreachedNode {
-    /// Its operators' address.
+    /// Address for operators of the node.
     pub address: SocketAddr,
-    /// Its name, if another node knows it.
+    /// Name of the node, if another node knows it.
     pub node: Option<NodeName>,
-    /// Whether it announced to the others that it leaves.
+    /// Whether the node announced to the others that it is leaving.
     pub leaving: bool,
-    /// Why it was not reached.
+    /// Error message.
     pub problem: String,
 }
 
 impl UnreachedNode {
-    /// Name and address.
+    /// Name and address; only the address if the name is not known.
     #[must_use]
     pub fn label(&self) -> String {
         match &self.node {
@@ -57,61 +57,63 @@
     }
 }
 
-/// All nodes that could be found.
+/// All nodes that were discovered.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct MeshSurvey {
-    /// Those that answered, by name.
+    /// Nodes that answered, sorted by name.
     pub reached: Vec<ReachedNode>,
-    /// Those that did not.
+    /// Nodes that did not answer, sorted by address.
     pub unreached: Vec<UnreachedNode>,
 }
 
-/// What the nodes' lists say of an address that was not asked yet.
+/// What other nodes report of a node that was not queried yet.
 #[derive(Clone, Debug, Default)]
-struct Lead {
+struct DiscoveredNode {
     node: Option<NodeName>,
     leaving: bool,
 }
 
-/// Asks the given nodes, then the ones they know, until no new address turns up.
+/// Queries the given nodes, then the nodes that they report, until there are no new addresses.
 #[must_use]
 pub fn survey_nodes(client: &OperatorClient, seeds: &[SocketAddr]) -> MeshSurvey {
     let mut survey = MeshSurvey::default();
-    let mut asked = BTreeSet::new();
-    let mut leads: BTreeMap<SocketAddr, Lead> =
-        seeds.iter().map(|seed| (*seed, Lead::default())).collect();
-    while !leads.is_empty() {
-        asked.extend(leads.keys().copied());
-        let addresses: Vec<SocketAddr> = leads.keys().copied().collect();
+    let mut queried = BTreeSet::new();
+    let mut pending: BTreeMap<SocketAddr, DiscoveredNode> = seeds
+        .iter()
+        .map(|seed| (*seed, DiscoveredNode::default()))
+        .collect();
+    while !pending.is_empty() {
+        queried.extend(pending.keys().copied());
+        let addresses: Vec<SocketAddr> = pending.keys().copied().collect();
         let answers = query_all(&addresses, |address| client.fetch_status(address));
-        let found = take_answers(&mut survey, &leads, answers);
-        leads = found
+        let found = apply_answers(&mut survey, &pending, answers);
+        pending = found
             .into_iter()
-            .filter(|(address, _)| !asked.contains(address))
+            .filter(|(address, _)| !queried.contains(address))
             .collect();
     }
-    forget_second_addresses(&mut survey);
+    remove_duplicates(&mut survey);
     survey
 }
 
-fn take_answers(
+fn apply_answers(
     survey: &mut MeshSurvey,
-    leads: &BTreeMap<SocketAddr, Lead>,
+    pending: &BTreeMap<SocketAddr, DiscoveredNode>,
     answers: Vec<(SocketAddr, Result<NodeStatus, OperatorClientError>)>,
-) -> BTreeMap<SocketAddr, Lead> {
+) -> BTreeMap<SocketAddr, DiscoveredNode> {
     let mut found = BTreeMap::new();
     for (address, answer) in answers {
         match answer {
             Ok(status) => {
-                found.extend(read_members(&status));
+                found.extend(list_reported_peers(&status));
                 survey.reached.push(ReachedNode { address, status });
             }
             Err(problem) => {
-                let lead = leads.get(&address).cloned().unwrap_or_default();
+                let discovered = pending.get(&address).cloned().unwrap_or_default();
                 survey.unreached.push(UnreachedNode {
                     address,
-                    node: lead.node,
-                    leaving: lead.leaving,
+                    node: discovered.node,
+                    leaving: discovered.leaving,
                     problem: problem.to_string(),
                 });
             }
@@ -120,18 +122,18 @@
     found
 }
 
-fn read_members(status: &NodeStatus) -> impl Iterator<Item = (SocketAddr, Lead)> {
+fn list_reported_peers(status: &NodeStatus) -> impl Iterator<Item = (SocketAddr, DiscoveredNode)> {
     status.peers.iter().filter_map(|peer| {
-        let lead = Lead {
+        let discovered = DiscoveredNode {
             node: peer.node.clone(),
             leaving: peer.leaving,
         };
-        peer.operators.map(|address| (address, lead))
+        peer.operators.map(|address| (address, discovered))
     })
 }
 
-/// A node that listens on all addresses may be reached by two of them; it is listed once.
-fn forget_second_addresses(survey: &mut MeshSurvey) {
+/// Sorts the nodes and lists each once: a node that listens on all addresses may have been reached by two of them.
+fn remove_duplicates(survey: &mut MeshSurvey) {
     survey
         .reached
         .sort_by_key(|node| (node.label(), node.address));
@@ -141,31 +143,31 @@
     survey.unreached.sort_by_key(|node| node.address);
 }
 
-/// Asks each address, several at once, and returns the answers in the order of the addresses.
-pub fn query_all<T, F>(addresses: &[SocketAddr], ask: F) -> Vec<(SocketAddr, T)>
+/// Queries all addresses, several at once, and returns the answers in the order of the addresses.
+pub fn query_all<T, F>(addresses: &[SocketAddr], query: F) -> Vec<(SocketAddr, T)>
 where
     T: Send,
     F: Fn(SocketAddr) -> T + Sync,
 {
-    let (todo_tx, todo_rx) = flume::unbounded();
-    let (done_tx, done_rx) = flume::unbounded();
+    let (query_tx, query_rx) = flume::unbounded();
+    let (answer_tx, answer_rx) = flume::unbounded();
     for numbered in addresses.iter().copied().enumerate() {
-        // The receiver lives in this function: the channel is open.
-        let _ = todo_tx.send(numbered);
+        // The channel is open, since the receiver is alive until the end of this function.
+        let _ = query_tx.send(numbered);
     }
-    drop(todo_tx);
+    drop(query_tx);
     thread::scope(|scope| {
-        for _ in 0..ASKED_AT_ONCE.min(addresses.len()) {
-            let (todo_rx, done_tx, ask) = (todo_rx.clone(), done_tx.clone(), &ask);
+        for _ in 0..MAX_CONCURRENT_QUERIES.min(addresses.len()) {
+            let (query_rx, answer_tx, query) = (query_rx.clone(), answer_tx.clone(), &query);
             scope.spawn(move || {
-                for (number, address) in todo_rx {
-                    let _ = done_tx.send((number, address, ask(address)));
+                for (number, address) in query_rx {
+                    let _ = answer_tx.send((number, address, query(address)));
                 }
             });
         }
     });
-    drop(done_tx);
-    let mut done: Vec<(usize, SocketAddr, T)> = done_rx.into_iter().collect();
+    drop(answer_tx);
+    let mut done: Vec<(usize, SocketAddr, T)> = answer_rx.into_iter().collect();
     done.sort_by_key(|(number, ..)| *number);
     done.into_iter()
         .map(|(_, address, answer)| (address, answer))
--- a/src/commands/misses.rs
+++ b/src/commands/misses.rs
@@ -1,4 +1,4 @@
-//! `camphorturn misses`: which requests were not served on time, when and why.
+//! `camphorturn misses`: shows which requests were not served on time, when and why.
 
 mod text;
 
@@ -17,38 +17,38 @@
     time::Duration,
 };
 
-/// A window long enough for some lines of a sample, and short enough to tell an outage from the time around it.
+/// Long enough to hold several lines of a sample, and short enough to separate an outage from the time around it.
 const DEFAULT_WINDOW: Duration = Duration::from_secs(2);
-/// Times in lines are whole milliseconds.
-const LEAST_WINDOW: Duration = Duration::from_millis(1);
-/// What nodes on the platform write, unless they were told otherwise.
+/// Times in log lines are whole milliseconds.
+const MIN_WINDOW: Duration = Duration::from_millis(1);
+/// Default sampling rate of nodes on the platform.
 const DEFAULT_ONE_IN: u64 = 16;
-/// Lines without a number that are shown one by one. A file that is no log at all would fill the terminal.
-const SHOWN_PASSED: usize = 20;
-/// Characters of such a line that are shown.
-const SHOWN_TEXT: usize = 100;
+/// Maximum number of unrecognized lines that are shown. A file that isn't a log would fill the terminal.
+const MAX_SHOWN_LINES: usize = 20;
+/// Maximum number of characters that are shown of an unrecognized line.
+const MAX_SHOWN_CHARACTERS: usize = 100;
 
 /// Arguments of `misses`.
 #[derive(Clone, Debug, Bpaf)]
 pub struct MissesArguments {
-    /// Length of a window, such as 500ms, 2s or 1m (2s)
+    /// Length of a time window, such as 500ms, 2s or 1m (default 2s)
     #[bpaf(
         argument::<humantime::Duration>("TIME"),
         map(Duration::from),
-        guard(is_window, "must be at least 1ms"),
+        guard(is_valid_window, "must be at least 1ms"),
         fallback(DEFAULT_WINDOW)
     )]
     pub window: Duration,
-    /// Of how many requests that go as they should nodes write one (16)
+    /// Sampling rate of the nodes: they log one in N requests that end normally (default 16)
     #[bpaf(
         argument("N"),
-        guard(is_divisor, "must be at least 1"),
+        guard(is_positive, "must be at least 1"),
         fallback(DEFAULT_ONE_IN)
     )]
     pub one_in: u64,
-    /// Print one JSON object in place of text
+    /// Print one JSON object instead of text
     pub json: bool,
-    /// Where lines come from.
+    /// Source of the log lines.
     #[bpaf(external(source_arguments))]
     pub source: SourceArguments,
 }
@@ -58,15 +58,16 @@
 struct MissesView<'a> {
     #[serde(flatten)]
     report: &'a MissReport,
-    /// Nodes that could not be asked.
+    /// Nodes that could not be reached, each with its address and the reason.
     unreached: &'a [String],
-    /// Lines that nodes no longer hold.
+    /// Number of lines that nodes no longer hold in memory.
     forgotten_lines: u64,
-    /// Lines that no node numbered.
-    passed_over: &'a [UnrecognizedLine],
+    /// Lines that are not log lines of a node.
+    #[serde(rename = "passed_over")]
+    unrecognized: &'a [UnrecognizedLine],
 }
 
-/// Shows which requests were not served on time.
+/// Writes a report on the requests that were not served on time.
 ///
 /// # Errors
 /// If `out` can't be written to.
@@ -74,34 +75,34 @@
     let Some(collected) = arguments.source.collect_or_report()? else {
         return Ok(ExitCode::BadInput);
     };
-    write_passed(&collected.passed_over)?;
-    let sampling = read_sampling(arguments.one_in);
-    let report = report_misses(&collected.read.incarnations, arguments.window, sampling);
+    write_unrecognized(&collected.unrecognized)?;
+    let sampling = compute_sampling(arguments.one_in);
+    let report = report_misses(&collected.log.incarnations, arguments.window, sampling);
     if arguments.json {
         let view = MissesView {
             report: &report,
             unreached: &collected.unreached,
             forgotten_lines: collected.dropped,
-            passed_over: &collected.passed_over,
+            unrecognized: &collected.unrecognized,
         };
         serde_json::to_writer_pretty(&mut *out, &view)?;
         writeln!(out)?;
     } else {
         write_report(&report, out)?;
     }
-    Ok(judge(&collected, &report))
+    Ok(choose_exit_code(&collected, &report))
 }
 
-fn judge(collected: &CollectedLines, report: &MissReport) -> ExitCode {
+fn choose_exit_code(collected: &CollectedLines, report: &MissReport) -> ExitCode {
     match (collected.unreached.is_empty(), report.total.lines) {
         (true, 0) => ExitCode::Failed,
         (true, _) => ExitCode::Success,
-        (false, _) if collected.read.incarnations.is_empty() => ExitCode::Unreachable,
+        (false, _) if collected.log.incarnations.is_empty() => ExitCode::Unreachable,
         (false, _) => ExitCode::Partial,
     }
 }
 
-fn read_sampling(one_in: u64) -> Sampling {
+fn compute_sampling(one_in: u64) -> Sampling {
     let rules = LogSettings {
         ordinary_one_in: one_in,
         kept_lines: 0,
@@ -112,23 +113,26 @@
     }
 }
 
-/// Names the places of lines that were passed over, so that a damaged one can be looked up.
-fn write_passed(passed: &[UnrecognizedLine]) -> io::Result<()> {
+/// Lists unrecognized lines with their positions, so that a damaged line can be looked up.
+fn write_unrecognized(lines: &[UnrecognizedLine]) -> io::Result<()> {
     let mut err = io::stderr().lock();
-    for UnrecognizedLine { source, line, text } in passed.iter().take(SHOWN_PASSED) {
-        let start = text.chars().take(SHOWN_TEXT).map(show_character);
+    for UnrecognizedLine { source, line, text } in lines.iter().take(MAX_SHOWN_LINES) {
+        let start = text
+            .chars()
+            .take(MAX_SHOWN_CHARACTERS)
+            .map(replace_control_character);
         let start: String = start.collect();
         writeln!(err, "  {source}:{line}: {start}")?;
     }
-    if passed.len() > SHOWN_PASSED {
-        let more = passed.len() - SHOWN_PASSED;
+    if lines.len() > MAX_SHOWN_LINES {
+        let more = lines.len() - MAX_SHOWN_LINES;
         writeln!(err, "  and {more} more; --json lists all")?;
     }
     Ok(())
 }
 
-/// A damaged line may hold what would change the colours of a terminal or clear it.
-fn show_character(character: char) -> char {
+/// Replaces control characters: a damaged line may hold sequences that change the colours of a terminal or clear it.
+fn replace_control_character(character: char) -> char {
     if character.is_control() {
         char::REPLACEMENT_CHARACTER
     } else {
@@ -140,10 +144,10 @@
     clippy::trivially_copy_pass_by_ref,
     reason = "the parser passes a reference"
 )]
-const fn is_divisor(one_in: &u64) -> bool {
+const fn is_positive(one_in: &u64) -> bool {
     *one_in > 0
 }
 
-fn is_window(window: &Duration) -> bool {
-    *window >= LEAST_WINDOW
+fn is_valid_window(window: &Duration) -> bool {
+    *window >= MIN_WINDOW
 }
--- a/src/commands/misses/text.rs
+++ b/src/commands/misses/text.rs
@@ -1,4 +1,4 @@
-//! A report of misses as text.
+//! Formats a report on misses as text.
 
 use crate::log_reading::misses::{
     MissReport, MissWindow,
@@ -6,35 +6,35 @@
 };
 use std::io::{self, Write};
 
-/// Windows that are shown.
-const SHOWN_WINDOWS: usize = 10;
-/// Kinds of a class that are shown in a window.
-const SHOWN_KINDS: usize = 4;
-/// What stands for the class of a request without one, as without a route.
+/// Maximum number of windows that are shown.
+const MAX_SHOWN_WINDOWS: usize = 10;
+/// Maximum number of kinds that are shown for a class in a window.
+const MAX_SHOWN_KINDS: usize = 4;
+/// Shown for requests without a class, which have no route.
 const NO_CLASS: &str = "(no class)";
 
-/// Writes the report.
+/// Writes the report as text.
 pub fn write_report(report: &MissReport, out: &mut dyn Write) -> io::Result<()> {
     write_sampling(report, out)?;
     write_breakdown("All classes", &report.total, out)?;
     for (class, breakdown) in &report.classes {
-        write_breakdown(name_class(class), breakdown, out)?;
+        write_breakdown(format_class(class), breakdown, out)?;
     }
     write_windows(report, out)
 }
 
-/// Says first how far the figures are counts.
+/// Writes which of the numbers are samples and which are complete counts.
 fn write_sampling(report: &MissReport, out: &mut dyn Write) -> io::Result<()> {
     let sampling = report.sampling;
     writeln!(
         out,
-        "{} lines tell of ends of requests. How far they are counts:",
+        "{} lines on ended requests. Which of them are samples:",
         report.total.lines
     )?;
     writeln!(
         out,
-        "  on time, no route, client left: a sample, one in {} requests, and above a node's bound of lines \
-         fewer, uncounted",
+        "  on time, no route, client left: a sample, one in {} requests, and fewer, without a count, above \
+         the rate limit of a node",
         sampling.ordinary_one_in
     )?;
     writeln!(
@@ -44,21 +44,21 @@
     )?;
     writeln!(
         out,
-        "  others: all that nodes did not leave out; {} lines on late and other requests and on nodes were \
-         left out, {} are missing here",
+        "  others: complete, except for lines that nodes suppressed; {} lines on late and other requests and \
+         on nodes were suppressed, {} are missing from the input",
         report.dropped_lines, report.missing_lines
     )?;
     if report.without_end > 0 {
         writeln!(
             out,
-            "  {} further requests have lines of the node beside the upstream only, none on their end",
+            "  {} further requests have lines of executing nodes only, none on their end",
             report.without_end
         )?;
     }
     writeln!(
         out,
-        "  estimates are lines times \"one in\"; shares on time are made of estimates, their ranges of the size of \
-         the sample only"
+        "  estimates are lines times \"one in\"; on-time shares are computed from estimates, their ranges from \
+         the size of the sample only"
     )
 }
 
@@ -81,13 +81,13 @@
 fn write_windows(report: &MissReport, out: &mut dyn Write) -> io::Result<()> {
     writeln!(
         out,
-        "\nWindows of {} ms by the time requests came, the worst share on time first:",
+        "\nWindows of {} ms by arrival of the requests, the lowest on-time share first:",
         report.window_ms
     )?;
-    for window in report.windows.iter().take(SHOWN_WINDOWS) {
+    for window in report.windows.iter().take(MAX_SHOWN_WINDOWS) {
         write_window(window, out)?;
     }
-    let more = report.windows.len().saturating_sub(SHOWN_WINDOWS);
+    let more = report.windows.len().saturating_sub(MAX_SHOWN_WINDOWS);
     if more > 0 {
         writeln!(out, "and {more} more windows; --json lists all")?;
     }
@@ -97,17 +97,17 @@
 fn write_window(window: &MissWindow, out: &mut dyn Write) -> io::Result<()> {
     write!(out, "{}  {}", window.from, describe_share(&window.total))?;
     if window.dropped_lines > 0 {
-        write!(out, "; {} lines left out", window.dropped_lines)?;
+        write!(out, "; {} lines suppressed", window.dropped_lines)?;
     }
     writeln!(out)?;
     for (class, breakdown) in &window.classes {
-        let kinds = breakdown.kinds.iter().take(SHOWN_KINDS);
+        let kinds = breakdown.kinds.iter().take(MAX_SHOWN_KINDS);
         let mut kinds: Vec<String> = kinds.map(describe_lines).collect();
         let more = breakdown.kinds.len() - kinds.len();
         if more > 0 {
             kinds.push(format!("{more} more kinds"));
         }
-        writeln!(out, "    {}: {}", name_class(class), kinds.join("; "))?;
+        writeln!(out, "    {}: {}", format_class(class), kinds.join("; "))?;
     }
     Ok(())
 }
@@ -115,12 +115,12 @@
 fn describe_share(breakdown: &Breakdown) -> String {
     let (lines, missed) = (breakdown.lines, breakdown.missed_lines);
     let share = breakdown.on_time_share_estimate;
-    let Some((share, (least, most))) = share.zip(breakdown.on_time_share_range) else {
-        return format!("no share on time ({lines} lines)");
+    let Some((share, (lower, upper))) = share.zip(breakdown.on_time_share_range) else {
+        return format!("no on-time share ({lines} lines)");
     };
-    let [share, least, most] = [share, least, most].map(|share| share * 100.0);
+    let [share, lower, upper] = [share, lower, upper].map(|share| share * 100.0);
     format!(
-        "about {share:.0}% on time, by the sample {least:.0} to {most:.0}% ({lines} lines, {missed} of them \
+        "about {share:.0}% on time, {lower:.0} to {upper:.0}% by sample size ({lines} lines, {missed} of them \
          on misses)"
     )
 }
@@ -148,6 +148,6 @@
     text
 }
 
-fn name_class(class: &str) -> &str {
+fn format_class(class: &str) -> &str {
     if class.is_empty() { NO_CLASS } else { class }
 }
--- a/src/commands/publish.rs
+++ b/src/commands/publish.rs
@@ -1,4 +1,4 @@
-//! `camphorturn publish`: puts a configuration in force and tells whether that worked.
+//! `camphorturn publish`: publishes a configuration and reports whether that succeeded.
 
 mod in_force;
 
@@ -32,37 +32,37 @@
     /// How to reach the nodes.
     #[bpaf(external(access_arguments))]
     pub access: AccessArguments,
-    /// Who publishes, as the history is to show it
+    /// Author to show in the history
     #[bpaf(long, env("CAMPHORTURN_AUTHOR"), argument("NAME"))]
     pub author: String,
-    /// Why, as the history is to show it
+    /// Reason for the change to show in the history
     #[bpaf(long, argument("TEXT"))]
     pub note: String,
-    /// Version that the file was made from; if another one is in force, nothing is published
+    /// Version that the file is based on; if another one is in force, nothing is published
     #[bpaf(long, argument("VERSION"), optional)]
     pub based_on: Option<u64>,
-    /// Identity of an earlier try, to find out what became of it and publish at most once
+    /// Id of an earlier attempt, to find out its outcome and to publish at most once
     #[bpaf(long, argument("UUID"), optional)]
     pub id: Option<Uuid>,
-    /// Wait so many seconds until all nodes have the version
+    /// Wait up to this many seconds until all nodes have the version
     #[bpaf(long, argument("SECONDS"), optional)]
     pub wait: Option<u32>,
-    /// Print one JSON object in place of lines
+    /// Print one JSON object instead of text
     pub json: bool,
     /// The whole configuration, JSON with comments
     #[bpaf(positional("FILE"))]
     pub file: PathBuf,
 }
 
-/// What the command did.
+/// Result of the command.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct PublishReport {
-    /// Identity of the publication.
+    /// Id of the publication.
     pub id: Uuid,
-    /// How the publication ended.
+    /// Outcome of the publication.
     #[serde(flatten)]
     pub outcome: PublicationOutcome,
-    /// Where it is in force, if that was asked for and it was accepted.
+    /// Nodes at which the version is in force, if `--wait` was given and the version is published.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub nodes: Option<InForceReport>,
 }
@@ -129,7 +129,7 @@
                 writeln!(f, "unknown whether it was published: {reason}")?;
                 writeln!(
                     f,
-                    "run the same command with --id {id}: it tells, and never publishes twice"
+                    "run the same command with --id {id}: it reports the outcome and never publishes twice"
                 )?;
             }
         }
@@ -140,7 +140,7 @@
     }
 }
 
-/// Checks the file, publishes it and tells how that ended.
+/// Checks the file, publishes it and writes the outcome to `out`.
 ///
 /// # Errors
 /// Only if `out` can't be written to.
@@ -184,7 +184,7 @@
 ) -> PublishReport {
     let client = OperatorClient::new(access);
     let outcome = query_first(access, |node| client.publish(node, request));
-    let outcome = outcome.unwrap_or_else(|problem| describe_failure(&problem));
+    let outcome = outcome.unwrap_or_else(|problem| build_failure_outcome(&problem));
     let version = match outcome {
         PublicationOutcome::Accepted { version, .. }
         | PublicationOutcome::AlreadyInForce { version } => Some(version),
@@ -201,8 +201,8 @@
     }
 }
 
-/// A node that was reached and did not answer may have published.
-fn describe_failure(problem: &OperatorClientError) -> PublicationOutcome {
+/// Converts an error to an outcome. A node that was reached but did not answer may have published the configuration.
+fn build_failure_outcome(problem: &OperatorClientError) -> PublicationOutcome {
     let reason = problem.to_string();
     match problem {
         OperatorClientError::Refused { .. } | OperatorClientError::NotSent(_) => {
@@ -214,17 +214,17 @@
     }
 }
 
-/// Asks the given nodes in turn until one can be reached.
+/// Queries the given nodes in turn until one can be reached.
 ///
 /// # Errors
-/// The problem of the last node asked.
+/// The error of the first node that was reached, or of the last node if none was.
 pub fn query_first<T>(
     access: &OperatorAccess,
-    ask: impl Fn(SocketAddr) -> Result<T, OperatorClientError>,
+    query: impl Fn(SocketAddr) -> Result<T, OperatorClientError>,
 ) -> Result<T, OperatorClientError> {
-    let mut problem = OperatorClientError::NotSent("no node is named".to_owned());
+    let mut problem = OperatorClientError::NotSent("no node is given".to_owned());
     for node in &access.nodes {
-        match ask(*node) {
+        match query(*node) {
             Err(OperatorClientError::NotSent(cause)) => {
                 problem = OperatorClientError::NotSent(format!("{node}: {cause}"));
             }
--- a/src/commands/publish/in_force.rs
+++ b/src/commands/publish/in_force.rs
@@ -1,4 +1,4 @@
-//! Asks nodes which version they have.
+//! Waits until a configuration version is in force at all nodes.
 
 use crate::{
     commands::mesh::{MeshSurvey, survey_nodes},
@@ -9,42 +9,42 @@
 use serde::Serialize;
 use std::{fmt, net::SocketAddr, time::Duration};
 
-/// Time between two questions to the nodes.
-const ASK_AGAIN: Duration = Duration::from_millis(100);
+/// Time between two queries of the nodes.
+const QUERY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What a node said last.
+/// Last answer of a node.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct NodeAnswer {
-    /// Its name, or its address.
+    /// Name of the node, or its address.
     pub node: String,
-    /// Its version, if it answered.
+    /// Version that the node has in force, if it answered.
     pub version: Option<ConfigurationVersion>,
-    /// Why there is no version.
+    /// Error message, if the node did not answer.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub error: Option<String>,
 }
 
-/// Where a version is in force.
+/// Nodes at which a version is in force, and nodes at which it is not.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct InForceReport {
     /// Nodes that have the version or a later one.
     pub in_force: Vec<NodeAnswer>,
     /// Nodes that answered with an earlier one.
     pub behind: Vec<NodeAnswer>,
-    /// Nodes that could not be asked.
+    /// Nodes that could not be reached.
     pub not_reached: Vec<NodeAnswer>,
-    /// Time spent, in milliseconds.
+    /// Time spent waiting, in milliseconds.
     pub waited_ms: u64,
 }
 
 impl InForceReport {
-    /// Whether every node that is known has the version.
+    /// Whether every known node has the version.
     #[must_use]
     pub fn is_everywhere(&self) -> bool {
         self.behind.is_empty() && self.not_reached.is_empty()
     }
 
-    fn read(survey: &MeshSurvey, version: ConfigurationVersion, waited: Duration) -> Self {
+    fn build(survey: &MeshSurvey, version: ConfigurationVersion, waited: Duration) -> Self {
         let reached = survey.reached.iter().map(|node| NodeAnswer {
             node: node.label(),
             version: Some(node.status.version),
@@ -83,7 +83,7 @@
     }
 }
 
-/// Asks all nodes until each has `version` or the time is up.
+/// Queries all nodes until each has `version` or a later one, or until `limit` has passed.
 #[must_use]
 pub fn wait_until_in_force(
     client: &OperatorClient,
@@ -93,15 +93,15 @@
     timers: &TimerService,
 ) -> InForceReport {
     let began = timers.now();
-    let again = timers.every(ASK_AGAIN);
+    let ticks = timers.every(QUERY_INTERVAL);
     loop {
         let survey = survey_nodes(client, seeds);
         let waited = timers.now().since(began);
-        let report = InForceReport::read(&survey, version, waited);
+        let report = InForceReport::build(&survey, version, waited);
         if report.is_everywhere() || waited >= limit {
             return report;
         }
-        // The service goes only with the process.
-        let _ = again.recv();
+        // The timer service lives as long as the process, so `recv` doesn't fail.
+        let _ = ticks.recv();
     }
 }
--- a/src/commands/status.rs
+++ b/src/commands/status.rs
@@ -1,4 +1,4 @@
-//! `camphorturn status`: all reachable nodes at a glance, what is wrong first.
+//! `camphorturn status`: shows the state of all reachable nodes, problems first.
 
 pub mod report;
 pub mod text;
@@ -24,7 +24,7 @@
     time::Duration,
 };
 
-/// Clears a terminal and moves to its upper left corner.
+/// Escape sequences that clear a terminal and move the cursor to the upper left corner.
 const CLEAR_SCREEN: &str = "\u{1b}[2J\u{1b}[H";
 
 /// Arguments of `status`.
@@ -33,16 +33,16 @@
     /// How to reach the nodes.
     #[bpaf(external(access_arguments))]
     pub access: AccessArguments,
-    /// Print one JSON object in place of text
+    /// Print one JSON object instead of text
     pub json: bool,
-    /// Show it again every two seconds until interrupted
+    /// Refresh every two seconds until interrupted
     pub watch: bool,
 }
 
-/// Time between two views of `--watch`.
+/// Time between two refreshes with `--watch`.
 const WATCH_PERIOD: Duration = Duration::from_secs(2);
 
-/// Shows the status once, or again and again with `--watch`.
+/// Shows the status once, or repeatedly with `--watch`.
 ///
 /// # Errors
 /// Only if `out` can't be written to.
@@ -79,12 +79,12 @@
         write_status(&report, &survey, out)?;
     }
     out.flush()?;
-    Ok(judge_survey(&survey))
+    Ok(choose_exit_code(&survey))
 }
 
-/// The exit code of a command that asked all nodes.
+/// Returns the exit code for a survey. Nodes that are leaving needn't answer.
 #[must_use]
-pub fn judge_survey(survey: &MeshSurvey) -> ExitCode {
+pub fn choose_exit_code(survey: &MeshSurvey) -> ExitCode {
     if survey.reached.is_empty() {
         ExitCode::Unreachable
     } else if survey.unreached.iter().all(|node| node.leaving) {
--- a/src/commands/status/report.rs
+++ b/src/commands/status/report.rs
@@ -1,4 +1,4 @@
-//! What all nodes together say: problems, classes, versions. Pure.
+//! Summarizes the status of all nodes: problems, classes, versions. Pure functions without I/O.
 
 use crate::{
     commands::mesh::{MeshSurvey, ReachedNode},
@@ -11,68 +11,68 @@
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// Kinds of problems, the worst first.
+/// Kinds of problems, the most severe first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ProblemKind {
-    /// A class misses its target.
+    /// A class misses its latency target.
     TargetMissed,
-    /// A node was not reached.
+    /// A node could not be reached.
     NodeUnreached,
-    /// A node takes no requests of clients.
+    /// A node accepts no requests of clients.
     NotReady,
-    /// A node knows no upstream beside it.
+    /// A node knows no local upstream.
     UpstreamMissing,
     /// Nodes apply different configurations.
     VersionsDiffer,
-    /// A node can't reach another.
+    /// A node can't reach another node.
     PeerUnreachable,
 }
 
-/// One thing that is wrong.
+/// One problem.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 pub struct Problem {
-    /// What kind.
+    /// Kind of the problem.
     pub kind: ProblemKind,
-    /// One line for people.
+    /// Description for people, in one line.
     pub message: String,
 }
 
-/// A class over all nodes.
+/// Status of a class over all nodes.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct ClassSummary {
-    /// Counts of all nodes; times of the node where they are longest.
+    /// Sums of the counts of all nodes, and the highest latency percentiles of any node.
     ///
-    /// NB: percentiles of several nodes can't be added up; the worst node's are an upper bound.
+    /// Percentiles of several nodes can't be combined; the highest of them are an upper limit.
     #[serde(flatten)]
     pub status: ClassStatus,
-    /// Requests a second since the nodes' start.
+    /// Requests per second, averaged since the start of each node and summed over the nodes.
     pub rate: f64,
 }
 
-/// How many nodes apply a version.
+/// Number of nodes that apply a configuration version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub struct VersionCount {
-    /// The version.
+    /// Version number.
     pub version: ConfigurationVersion,
-    /// Nodes that apply it.
+    /// Number of nodes that apply it.
     pub nodes: usize,
 }
 
-/// The state of the mesh.
+/// Summary of the mesh.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct StatusReport {
-    /// What is wrong, the worst first.
+    /// Problems, the most severe first.
     pub problems: Vec<Problem>,
     /// Versions in force, the highest first.
     pub versions: Vec<VersionCount>,
-    /// Evacuated availability zones, each with the number of nodes that know of it.
+    /// Evacuated availability zones, each with the number of nodes that know of the evacuation.
     pub evacuated: BTreeMap<AvailabilityZoneName, usize>,
-    /// All classes, by name.
+    /// All classes, sorted by name.
     pub classes: Vec<ClassSummary>,
 }
 
-/// Sums up what the nodes said.
+/// Summarizes the status that the nodes reported.
 #[must_use]
 pub fn summarize(survey: &MeshSurvey) -> StatusReport {
     let classes = summarize_classes(&survey.reached);
@@ -155,7 +155,7 @@
         .map(|class| {
             let status = &class.status;
             let message = format!(
-                "{} on target for {:.2}% of {} requests, wanted {:.0}% within {} ms",
+                "{} on target for {:.2}% of {} requests, required {:.0}% within {} ms",
                 class.label(),
                 status.on_target_share() * 100.0,
                 status.requests,
@@ -168,7 +168,7 @@
 }
 
 impl ClassSummary {
-    /// Its name.
+    /// Name of the class; `?` for requests without one.
     #[must_use]
     pub fn label(&self) -> &str {
         self.status.class.as_ref().map_or("?", ClassName::as_str)
@@ -198,7 +198,7 @@
     } else if !status.ready {
         add(
             ProblemKind::NotReady,
-            format!("{label} knows no configuration"),
+            format!("{label} has no configuration"),
         );
     }
     if status.upstream.is_none() {
--- a/src/commands/status/text.rs
+++ b/src/commands/status/text.rs
@@ -1,4 +1,4 @@
-//! The status as text of at most 80 columns.
+//! Formats the status as text of at most 80 columns.
 
 use crate::{
     commands::{
@@ -10,10 +10,10 @@
 };
 use std::io::{self, Write};
 
-/// Columns of the terminal that the text is made for.
+/// Maximum width of a line, in characters.
 pub const COLUMNS: usize = 80;
-/// Problems that are shown; the number of the others is.
-const PROBLEMS_SHOWN: usize = 12;
+/// Maximum number of problems that are shown; the others are only counted.
+const MAX_SHOWN_PROBLEMS: usize = 12;
 
 /// Writes the status, problems first.
 ///
@@ -31,26 +31,26 @@
     write_versions(report, out)
 }
 
-/// Cuts a line at [`COLUMNS`], with a mark where text is missing.
+/// Writes a line, truncated to [`COLUMNS`] with a trailing `~` if it is longer.
 fn write_line(out: &mut dyn Write, line: &str) -> io::Result<()> {
     let line = line.trim_end();
     if line.chars().count() <= COLUMNS {
         return writeln!(out, "{line}");
     }
-    let cut: String = line.chars().take(COLUMNS - 1).collect();
-    writeln!(out, "{cut}~")
+    let truncated: String = line.chars().take(COLUMNS - 1).collect();
+    writeln!(out, "{truncated}~")
 }
 
 fn write_problems(report: &StatusReport, out: &mut dyn Write) -> io::Result<()> {
     match report.problems.len() {
         0 => return writeln!(out, "Nothing is wrong."),
         1 => writeln!(out, "1 problem:")?,
-        count => writeln!(out, "{count} problems, the worst first:")?,
+        count => writeln!(out, "{count} problems, the most severe first:")?,
     }
-    for problem in report.problems.iter().take(PROBLEMS_SHOWN) {
+    for problem in report.problems.iter().take(MAX_SHOWN_PROBLEMS) {
         write_line(out, &format!("  ! {}", problem.message))?;
     }
-    let hidden = report.problems.len().saturating_sub(PROBLEMS_SHOWN);
+    let hidden = report.problems.len().saturating_sub(MAX_SHOWN_PROBLEMS);
     if hidden > 0 {
         writeln!(out, "  and {hidden} more; --json has them all")?;
     }
@@ -96,14 +96,14 @@
         status.unknown,
         status.on_target_share() * 100.0,
         status.target_ms,
-        format_bound(status.p50_ms),
-        format_bound(status.p99_ms),
+        format_percentile(status.p50_ms),
+        format_percentile(status.p99_ms),
     )
 }
 
-/// Histograms tell the least bound that a share of the times lies within.
-fn format_bound(bound: Option<u64>) -> String {
-    bound.map_or_else(|| "-".to_owned(), |bound| format!("<={bound}"))
+/// Formats a percentile of a latency histogram, which is known only as the upper limit of a bucket.
+fn format_percentile(limit_ms: Option<u64>) -> String {
+    limit_ms.map_or_else(|| "-".to_owned(), |limit_ms| format!("<={limit_ms}"))
 }
 
 fn write_nodes(survey: &MeshSurvey, out: &mut dyn Write) -> io::Result<()> {
--- a/src/commands/timeline.rs
+++ b/src/commands/timeline.rs
@@ -1,4 +1,4 @@
-//! `camphorturn timeline`: the lines of all nodes in causal order.
+//! `camphorturn timeline`: shows the log lines of all nodes in causal order.
 
 pub mod page;
 pub mod selection;
@@ -28,28 +28,28 @@
     time::Duration,
 };
 
-/// Time between two looks at the nodes with `--follow`.
+/// Time between two queries of the nodes with `--follow`.
 const FOLLOW_PERIOD: Duration = Duration::from_millis(500);
 
 /// Arguments of `timeline`.
 #[derive(Clone, Debug, Bpaf)]
 pub struct TimelineArguments {
-    /// Which lines.
+    /// Filters for lines.
     #[bpaf(external(line_selection))]
     pub selection: LineSelection,
-    /// Go on with new lines of nodes until interrupted
+    /// Show new lines of running nodes until interrupted
     pub follow: bool,
-    /// Print one JSON object a line in place of text
+    /// Print one JSON object per line instead of text
     pub json: bool,
-    /// Write a page with a lane for each node to this file
+    /// Write an HTML page with a lane for each node to this file
     #[bpaf(argument("FILE"))]
     pub html: Option<PathBuf>,
-    /// Where lines come from.
+    /// Source of the log lines.
     #[bpaf(external(source_arguments))]
     pub source: SourceArguments,
 }
 
-/// Shows the time line.
+/// Shows the timeline.
 ///
 /// # Errors
 /// If `out` or the page can't be written to.
@@ -65,10 +65,10 @@
         return Ok(ExitCode::BadInput);
     };
     show(arguments, &collected, out)?;
-    Ok(judge(&collected))
+    Ok(choose_exit_code(&collected))
 }
 
-/// Shows lines of nodes as they come.
+/// Shows new lines of running nodes until interrupted.
 fn follow(
     arguments: &TimelineArguments,
     timers: &TimerService,
@@ -77,7 +77,7 @@
     let mut nodes = match NodeLines::new(&arguments.source.access) {
         Ok(nodes) => nodes,
         Err(error) => {
-            eprintln!("--follow asks nodes that run: {error}");
+            eprintln!("--follow reads from running nodes: {error}");
             return Ok(ExitCode::BadInput);
         }
     };
@@ -94,7 +94,7 @@
     collected: &CollectedLines,
     out: &mut dyn Write,
 ) -> io::Result<()> {
-    let incarnations = &collected.read.incarnations;
+    let incarnations = &collected.log.incarnations;
     let names = NodeNames::collect(incarnations);
     let lines = arguments.selection.select(order_lines(incarnations));
     match &arguments.html {
@@ -103,9 +103,9 @@
     }
 }
 
-fn judge(collected: &CollectedLines) -> ExitCode {
+fn choose_exit_code(collected: &CollectedLines) -> ExitCode {
     match (
-        collected.read.incarnations.is_empty(),
+        collected.log.incarnations.is_empty(),
         collected.unreached.is_empty(),
     ) {
         (_, true) => ExitCode::Success,
--- a/src/commands/timeline/page.rs
+++ b/src/commands/timeline/page.rs
@@ -1,4 +1,4 @@
-//! The time line as one HTML page that needs nothing besides itself.
+//! Writes the timeline as one HTML page without external resources.
 
 use crate::{
     commands::timeline::text::format_time_of_day,
@@ -13,23 +13,23 @@
     io::{self, Write},
 };
 
-/// Events in the picture; the table below it has all of them.
-const PICTURE_LIMIT: usize = 2_000;
+/// Maximum number of events in the diagram; the table below it lists all events.
+const MAX_DIAGRAM_EVENTS: usize = 2_000;
 /// Width of the column of names, in pixels.
-const NAMES_WIDTH: usize = 150;
-/// Distance between two events, in pixels.
-const STEP: usize = 16;
+const NAMES_WIDTH_PX: usize = 150;
+/// Horizontal distance between two events, in pixels.
+const EVENT_DISTANCE_PX: usize = 16;
 /// Height of a lane, in pixels.
-const LANE: usize = 30;
-/// Events between two labels of the time.
-const LABEL_EVERY: usize = 10;
+const LANE_HEIGHT_PX: usize = 30;
+/// Number of events between two time labels.
+const EVENTS_PER_LABEL: usize = 10;
 
 const STYLE: &str = "body{font:14px sans-serif;margin:1em}div{overflow-x:auto}\
 table{border-collapse:collapse;margin-top:1em}td,th{padding:2px 8px;text-align:left;\
 border-bottom:1px solid #ddd;vertical-align:top}.usual{fill:#27c}.telling{fill:#d22}\
 svg text{font:11px sans-serif}tr.telling{background:#fdd}";
 
-/// Text within HTML.
+/// Text that is displayed with HTML escapes.
 struct Escaped<'a>(&'a str);
 
 impl fmt::Display for Escaped<'_> {
@@ -47,14 +47,14 @@
     }
 }
 
-/// A place in the picture, in pixels.
+/// Coordinates in the diagram, in pixels.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Place {
+struct Point {
     x: usize,
     y: usize,
 }
 
-/// Writes the page. The lines must be in causal order already.
+/// Writes the page. The lines must be in causal order.
 ///
 /// # Errors
 /// If `out` can't be written to.
@@ -70,23 +70,23 @@
     )?;
     writeln!(
         out,
-        "<title>camphorturn time line</title><style>{STYLE}</style>"
+        "<title>camphorturn timeline</title><style>{STYLE}</style>"
     )?;
     writeln!(
         out,
-        "<h1>Time line</h1><p>{} lines in causal order; times on one clock, in UTC.</p>",
+        "<h1>Timeline</h1><p>{} lines in causal order; times on one clock, in UTC.</p>",
         lines.len()
     )?;
     for problem in unreached {
         writeln!(out, "<p>Not reached: {}</p>", Escaped(problem))?;
     }
-    write_picture(lines, names, out)?;
+    write_diagram(lines, names, out)?;
     write_table(lines, names, out)
 }
 
-fn write_picture(events: &[TimedLine], names: &NodeNames, out: &mut dyn Write) -> io::Result<()> {
-    // The latest ones: an operator looks for what has just happened.
-    let events = &events[events.len().saturating_sub(PICTURE_LIMIT)..];
+fn write_diagram(events: &[TimedLine], names: &NodeNames, out: &mut dyn Write) -> io::Result<()> {
+    // The latest events, since operators usually look for what has just happened.
+    let events = &events[events.len().saturating_sub(MAX_DIAGRAM_EVENTS)..];
     let nodes: BTreeSet<&str> = events
         .iter()
         .map(|event| event.line.node.as_str())
@@ -96,14 +96,14 @@
         .zip(0..)
         .map(|(node, lane)| (*node, lane))
         .collect();
-    let width = NAMES_WIDTH + (events.len() + 6) * STEP;
-    let height = (nodes.len() + 1) * LANE;
+    let width = NAMES_WIDTH_PX + (events.len() + 6) * EVENT_DISTANCE_PX;
+    let height = (nodes.len() + 1) * LANE_HEIGHT_PX;
     writeln!(
         out,
         "<div><svg xmlns=\"http://www.w3.org/2000/svg\" width=\"{width}\" height=\"{height}\">"
     )?;
     for (lane, node) in nodes.iter().enumerate() {
-        let y = place_lane(lane);
+        let y = compute_lane_y(lane);
         writeln!(
             out,
             "<text x=\"4\" y=\"{}\">{}</text>",
@@ -112,15 +112,15 @@
         )?;
         writeln!(
             out,
-            "<line x1=\"{NAMES_WIDTH}\" y1=\"{y}\" x2=\"{width}\" y2=\"{y}\" stroke=\"#ccc\"/>"
+            "<line x1=\"{NAMES_WIDTH_PX}\" y1=\"{y}\" x2=\"{width}\" y2=\"{y}\" stroke=\"#ccc\"/>"
         )?;
     }
     write_marks(events, &lanes, names, out)?;
     writeln!(out, "</svg></div>")
 }
 
-const fn place_lane(lane: usize) -> usize {
-    (lane + 1) * LANE
+const fn compute_lane_y(lane: usize) -> usize {
+    (lane + 1) * LANE_HEIGHT_PX
 }
 
 fn write_marks(
@@ -129,32 +129,32 @@
     names: &NodeNames,
     out: &mut dyn Write,
 ) -> io::Result<()> {
-    let mut last: HashMap<&str, Place> = HashMap::new();
+    let mut last: HashMap<&str, Point> = HashMap::new();
     for (number, event) in events.iter().enumerate() {
         let lane = lanes
             .get(event.line.node.as_str())
             .copied()
             .unwrap_or_default();
-        let place = Place {
-            x: NAMES_WIDTH + (number + 1) * STEP,
-            y: place_lane(lane),
+        let point = Point {
+            x: NAMES_WIDTH_PX + (number + 1) * EVENT_DISTANCE_PX,
+            y: compute_lane_y(lane),
         };
-        if number % LABEL_EVERY == 0 {
+        if number % EVENTS_PER_LABEL == 0 {
             let time = format_time_of_day(event.at_ms);
-            writeln!(out, "<text x=\"{}\" y=\"12\">{time}</text>", place.x)?;
+            writeln!(out, "<text x=\"{}\" y=\"12\">{time}</text>", point.x)?;
         }
         let request = event.line.request();
-        let before = request.and_then(|request| last.insert(request, place));
-        if let Some(before) = before.filter(|before| before.y != place.y) {
-            write_arrow(before, place, out)?;
+        let before = request.and_then(|request| last.insert(request, point));
+        if let Some(before) = before.filter(|before| before.y != point.y) {
+            write_arrow(before, point, out)?;
         }
-        write_mark(event, place, names, out)?;
+        write_mark(event, point, names, out)?;
     }
     Ok(())
 }
 
-/// From one node's step of a request to the next step at another node.
-fn write_arrow(from: Place, to: Place, out: &mut dyn Write) -> io::Result<()> {
+/// Draws a line from a request's event at one node to its next event at another node.
+fn write_arrow(from: Point, to: Point, out: &mut dyn Write) -> io::Result<()> {
     writeln!(
         out,
         "<line x1=\"{}\" y1=\"{}\" x2=\"{}\" y2=\"{}\" stroke=\"#9ac\"/>",
@@ -164,7 +164,7 @@
 
 fn write_mark(
     timed: &TimedLine,
-    place: Place,
+    point: Point,
     names: &NodeNames,
     out: &mut dyn Write,
 ) -> io::Result<()> {
@@ -172,17 +172,17 @@
     writeln!(
         out,
         "<circle cx=\"{}\" cy=\"{}\" r=\"{}\" class=\"{}\"><title>{} {}: {}</title></circle>",
-        place.x,
-        place.y,
+        point.x,
+        point.y,
         if line.important { 6 } else { 4 },
-        name_style(timed),
+        choose_css_class(timed),
         line.number,
         Escaped(line.node.as_str()),
         Escaped(&describe_line(line, names)),
     )
 }
 
-fn name_style(timed: &TimedLine) -> &'static str {
+fn choose_css_class(timed: &TimedLine) -> &'static str {
     if timed.line.important {
         "telling"
     } else {
@@ -200,7 +200,7 @@
         writeln!(
             out,
             "<tr class=\"{}\"><td>{}<td>{}<td>{}<td>{}<td>{}</tr>",
-            name_style(timed),
+            choose_css_class(timed),
             format_time_of_day(timed.at_ms),
             Escaped(line.node.as_str()),
             line.number,
--- a/src/commands/timeline/selection.rs
+++ b/src/commands/timeline/selection.rs
@@ -1,29 +1,29 @@
-//! Which lines of the time line are shown.
+//! Filters for the lines of a timeline.
 
 use crate::log_reading::order::TimedLine;
 use bpaf::Bpaf;
 
-/// Filters of the time line; all given ones must match.
+/// Filters for the lines of a timeline. A line must match all that are given.
 #[derive(Clone, Debug, Default, Bpaf)]
 pub struct LineSelection {
     /// Only lines about this request
     #[bpaf(argument("REQUEST"))]
     pub request: Option<String>,
-    /// Only lines of this node, or about it
+    /// Only lines that this node wrote, or that are about it
     #[bpaf(argument("NAME"))]
     pub about: Option<String>,
     /// Only lines about requests of this class
     #[bpaf(argument("NAME"))]
     pub class: Option<String>,
-    /// Only lines with this number
+    /// Only lines with this event number
     #[bpaf(argument("NUMBER"))]
     pub event: Option<u16>,
-    /// Only failures, refusals and changes of what nodes believe
+    /// Only important lines: failures, refusals and state changes of nodes
     pub telling: bool,
 }
 
 impl LineSelection {
-    /// The lines that match, in the same order.
+    /// Returns the lines that match, in the same order.
     #[must_use]
     pub fn select(&self, lines: Vec<TimedLine>) -> Vec<TimedLine> {
         lines
--- a/src/commands/timeline/text.rs
+++ b/src/commands/timeline/text.rs
@@ -1,4 +1,4 @@
-//! Lines of logs as text for people and as JSON for programs.
+//! Formats log lines as text for people and as JSON for programs.
 
 use crate::log_reading::{
     description::{NodeNames, describe_line},
@@ -6,10 +6,10 @@
 };
 use std::io::{self, Write};
 
-/// Milliseconds of a day.
+/// Length of a day in milliseconds.
 const DAY_MS: u64 = 24 * 60 * 60 * 1_000;
 
-/// The time of day in UTC, to the millisecond.
+/// Formats the time of day in UTC with milliseconds, from a time in milliseconds since the Unix epoch.
 #[must_use]
 pub fn format_time_of_day(at_ms: f64) -> String {
     #[expect(
@@ -23,7 +23,7 @@
     format!("{hours:02}:{minutes:02}:{seconds:02}.{millis:03}")
 }
 
-/// Writes a line as text. The time is that of the common clock, in UTC.
+/// Writes a line as text, with its time on the common clock in UTC. Important lines are marked with `!`.
 ///
 /// # Errors
 /// If `out` can't be written to.
@@ -48,7 +48,7 @@
     }
 }
 
-/// Writes a line as JSON, with its time on the common clock.
+/// Writes a line as a JSON object, with its time on the common clock in the field `at_ms`.
 ///
 /// # Errors
 /// If `out` can't be written to.
