--- a/tests/integration/command_line.rs
+++ b/tests/integration/command_line.rs
@@ -1,4 +1,4 @@
-//! The tool as an operator runs it.
+//! Tests of the commands of `camphorturn`, run as separate processes.
 
 use bytes::Bytes;
 use camphorturn::{
@@ -21,8 +21,8 @@
 };
 
 const SAMPLE: &str = "samples/configuration.jsonc";
-/// Longest wait for a mesh; reached only by a failure.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// Time limit for a mesh to become ready; reached only if the test fails.
+const READY_TIMEOUT: Duration = Duration::from_secs(30);
 const TOOL: &str = env!("CARGO_BIN_EXE_camphorturn");
 
 fn run(arguments: &[&str]) -> Output {
@@ -33,13 +33,13 @@
     command.output().expect("the program runs")
 }
 
-/// An address where nobody listens.
-fn closed_address() -> String {
+/// Returns an address at which nothing listens.
+fn find_closed_address() -> String {
     let closed = TcpListener::bind("127.0.0.1:0").and_then(|socket| socket.local_addr());
     closed.expect("a loopback port is free").to_string()
 }
 
-fn text_of(bytes: &[u8]) -> String {
+fn decode_text(bytes: &[u8]) -> String {
     String::from_utf8_lossy(bytes).into_owned()
 }
 
@@ -68,7 +68,7 @@
 fn check_sample_exits_with_0() {
     let output = run(&["check", SAMPLE]);
     assert_eq!(output.status.code(), Some(0));
-    let text = text_of(&output.stdout);
+    let text = decode_text(&output.stdout);
     assert!(text.contains("samples/configuration.jsonc: no findings"));
 }
 
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn arguments_wrong_exit_with_2() {
+fn wrong_arguments_exit_with_2() {
     assert_eq!(run(&["chek"]).status.code(), Some(2));
     assert_eq!(run(&["check"]).status.code(), Some(2));
     assert_eq!(run(&[]).status.code(), Some(2));
@@ -111,20 +111,23 @@
 }
 
 #[test]
-fn completion_script_names_the_program() {
+fn completion_script_names_program() {
     let output = run(&["--bpaf-complete-style-bash"]);
     assert_eq!(output.status.code(), Some(0));
-    assert!(text_of(&output.stdout).contains("camphorturn"));
+    assert!(decode_text(&output.stdout).contains("camphorturn"));
 }
 
 fn start_mesh() -> LocalMesh {
     let mesh = LocalMesh::start(&build_booking_mesh_plan(1)).expect("free ports");
-    assert!(wait_until_ready(&mesh, PATIENCE), "the mesh was not ready");
+    assert!(
+        wait_until_ready(&mesh, READY_TIMEOUT),
+        "the mesh was not ready"
+    );
     mesh
 }
 
-/// Runs a command that talks to the mesh.
-fn run_at(mesh: &LocalMesh, arguments: &[&str]) -> Output {
+/// Runs a command that connects to the mesh.
+fn run_with_mesh(mesh: &LocalMesh, arguments: &[&str]) -> Output {
     let node = mesh.operator_addresses()[0].to_string();
     let access = [arguments[0], "--node", &node, "--token", LOCAL_TOKEN];
     run(&[&access[..], &arguments[1..]].concat())
@@ -138,7 +141,7 @@
 fn publish_then_history_and_status() {
     let mesh = start_mesh();
     let common = ["publish", "--author", "ana", "--note", "first", "--json"];
-    let publish = |more: &[&str]| run_at(&mesh, &[&common[..], more].concat());
+    let publish = |more: &[&str]| run_with_mesh(&mesh, &[&common[..], more].concat());
     let first = publish(&["--based-on", "1", "--wait", "20", SAMPLE]);
     assert_eq!(first.status.code(), Some(0), "{first:?}");
     let report = parse(&first);
@@ -155,14 +158,14 @@
     let changed = ScratchFile::new("changed.jsonc", &changed);
     let conflict = publish(&["--based-on", "1", changed.name()]);
     assert_eq!(conflict.status.code(), Some(4));
-    let history = run_at(&mesh, &["history", "--json"]);
+    let history = run_with_mesh(&mesh, &["history", "--json"]);
     assert_eq!(history.status.code(), Some(0));
     let history = parse(&history);
     assert_eq!(history["in_force"], 2);
     assert_eq!(history["publications"][0]["author"], "ana");
-    let status = run_at(&mesh, &["status"]);
+    let status = run_with_mesh(&mesh, &["status"]);
     assert_eq!(status.status.code(), Some(0), "{status:?}");
-    let text = text_of(&status.stdout);
+    let text = decode_text(&status.stdout);
     assert!(
         text.contains("CONFIGURATION VERSION 2 at 9 nodes"),
         "{text}"
@@ -174,12 +177,12 @@
 }
 
 #[test]
-fn publish_with_findings_asks_nobody() {
-    // Symptom: every node refuses or misreads the configuration in force.
-    // Sequence: a file with a fault is published.
+fn publish_with_findings_contacts_no_node() {
+    // Symptom: every node rejects or misreads the configuration in force.
+    // Sequence: a file with an error is published.
     // Cause: the file is checked by the nodes only, or not at all.
     let faulty = ScratchFile::new("faulty.jsonc", "{ \"services\": [], \"servces\": 1 }");
-    let closed = closed_address();
+    let closed = find_closed_address();
     let output = run(&[
         "publish",
         "--node",
@@ -193,12 +196,12 @@
         faulty.name(),
     ]);
     assert_eq!(output.status.code(), Some(2));
-    assert!(text_of(&output.stderr).contains("did you mean `services`?"));
+    assert!(decode_text(&output.stderr).contains("did you mean `services`?"));
 }
 
 #[test]
 fn commands_without_a_node_exit_with_3() {
-    let closed = closed_address();
+    let closed = find_closed_address();
     let access = ["--node", &closed, "--token", "t"];
     let publish = ["publish", "--author", "a", "--note", "n"];
     let publish = [&publish[..], &access, &[SAMPLE]].concat();
@@ -213,11 +216,11 @@
 }
 
 #[test]
-fn drain_names_the_node() {
+fn drain_finds_node_by_name() {
     let mesh = start_mesh();
-    let unknown = run_at(&mesh, &["drain", "no-such-node"]);
+    let unknown = run_with_mesh(&mesh, &["drain", "no-such-node"]);
     assert_eq!(unknown.status.code(), Some(2));
-    let drained = run_at(&mesh, &["drain", "--json", "dock-2"]);
+    let drained = run_with_mesh(&mesh, &["drain", "--json", "dock-2"]);
     assert_eq!(drained.status.code(), Some(0), "{drained:?}");
     assert_eq!(parse(&drained)["draining"]["condition"]["leaving"], true);
 }
@@ -225,16 +228,16 @@
 #[test]
 fn evacuate_and_take_back() {
     let mesh = start_mesh();
-    let unknown = run_at(&mesh, &["evacuate", "no-such-zone"]);
+    let unknown = run_with_mesh(&mesh, &["evacuate", "no-such-zone"]);
     assert_eq!(unknown.status.code(), Some(2), "{unknown:?}");
     let zone = mesh.nodes[0].plan.availability_zone.to_string();
-    let evacuated = run_at(&mesh, &["evacuate", "--json", &zone]);
+    let evacuated = run_with_mesh(&mesh, &["evacuate", "--json", &zone]);
     assert_eq!(evacuated.status.code(), Some(0), "{evacuated:?}");
     assert_eq!(parse(&evacuated)["zones"][0], zone.as_str());
-    // Versions of the configuration are counted apart from evacuations.
-    assert_eq!(run_at(&mesh, &["history"]).status.code(), Some(0));
+    // Evacuations don't change the version of the configuration; its history stays readable.
+    assert_eq!(run_with_mesh(&mesh, &["history"]).status.code(), Some(0));
     wait_for_status(&mesh, &format!("evacuated: {zone}"));
-    let taken_back = run_at(&mesh, &["evacuate", "--take-back", "--json", &zone]);
+    let taken_back = run_with_mesh(&mesh, &["evacuate", "--take-back", "--json", &zone]);
     assert_eq!(taken_back.status.code(), Some(0), "{taken_back:?}");
     assert_eq!(
         parse(&taken_back)["zones"].as_array().map(Vec::len),
@@ -242,10 +245,10 @@
     );
 }
 
-/// Asks until the status has a line that begins so.
+/// Polls the status until a line begins with `start`.
 fn wait_for_status(mesh: &LocalMesh, start: &str) {
     for _ in 0..200 {
-        let status = text_of(&run_at(mesh, &["status"]).stdout);
+        let status = decode_text(&run_with_mesh(mesh, &["status"]).stdout);
         if status.lines().any(|line| line.trim().starts_with(start)) {
             return;
         }
@@ -253,8 +256,8 @@
     panic!("no line {start}");
 }
 
-/// Sends one request with that identity to the second node.
-/// One that is not idempotent: a second attempt, which a busy machine would bring about, is never made.
+/// Sends one request with this id to the second node. The request is not idempotent, so that it is never retried: on a
+/// busy machine a retry would add further events.
 fn send_request(mesh: &LocalMesh, id: &'static str) {
     let mut headers = HeaderMap::new();
     headers.insert(HOST, HeaderValue::from_static("dock.example"));
@@ -281,44 +284,48 @@
 fn explain_timeline_and_logs_of_running_nodes() {
     let mesh = start_mesh();
     send_request(&mesh, "r-explained");
-    let explained = run_at(&mesh, &["explain", "--json", "r-explained"]);
+    let explained = run_with_mesh(&mesh, &["explain", "--json", "r-explained"]);
     assert_eq!(explained.status.code(), Some(0), "{explained:?}");
-    let story = parse(&explained);
-    assert_eq!(story["end"], "answered 200");
-    let events: Vec<u64> = story["steps"]
+    let trace = parse(&explained);
+    assert_eq!(trace["end"], "answered 200");
+    let events: Vec<u64> = trace["steps"]
         .as_array()
         .into_iter()
         .flatten()
         .filter_map(|step| step["event"].as_u64())
         .collect();
-    assert_steps(&story, &events);
-    let timeline = run_at(&mesh, &["timeline", "--event", "851"]);
-    assert_eq!(text_of(&timeline.stdout).lines().count(), 9);
-    let misses = parse(&run_at(&mesh, &["misses", "--json", "--one-in", "1"]));
+    assert_steps(&trace, &events);
+    let timeline = run_with_mesh(&mesh, &["timeline", "--event", "851"]);
+    assert_eq!(decode_text(&timeline.stdout).lines().count(), 9);
+    let misses = parse(&run_with_mesh(
+        &mesh,
+        &["misses", "--json", "--one-in", "1"],
+    ));
     assert_eq!(misses["unreached"].as_array().map(Vec::len), Some(0));
     assert!(misses["total"]["lines"].as_u64() > Some(0), "{misses}");
-    let summary = parse(&run_at(&mesh, &["logs", "--json"]));
+    let summary = parse(&run_with_mesh(&mesh, &["logs", "--json"]));
     assert_eq!(summary["beliefs"]["node_started"], 9);
-    let unknown = run_at(&mesh, &["explain", "no-such-request"]);
+    let unknown = run_with_mesh(&mesh, &["explain", "no-such-request"]);
     assert_eq!(unknown.status.code(), Some(1));
 }
 
-/// The question stands first; its arrival may be told within the same millisecond.
-fn assert_steps(story: &Value, events: &[u64]) {
+/// Checks that each of the three events is present and that the end of the request is the last one. Both lines on the
+/// attempt may have the same time in milliseconds, in either order.
+fn assert_steps(trace: &Value, events: &[u64]) {
     let mut sorted = events.to_vec();
     sorted.sort_unstable();
-    assert_eq!(sorted, [801, 802, 803], "{story}");
-    assert_eq!(events.last(), Some(&801), "{story}");
+    assert_eq!(sorted, [801, 802, 803], "{trace}");
+    assert_eq!(events.last(), Some(&801), "{trace}");
 }
 
 #[test]
 fn explain_reads_files_and_standard_input() {
     let mesh = start_mesh();
     send_request(&mesh, "r-from-file");
-    let lines = run_at(&mesh, &["timeline", "--request", "r-from-file", "--json"]);
-    assert_eq!(text_of(&lines.stdout).lines().count(), 3);
+    let lines = run_with_mesh(&mesh, &["timeline", "--request", "r-from-file", "--json"]);
+    assert_eq!(decode_text(&lines.stdout).lines().count(), 3);
     let page = ScratchFile::new("time-line.html", "");
-    let written = run_at(&mesh, &["timeline", "--html", page.name()]);
+    let written = run_with_mesh(&mesh, &["timeline", "--html", page.name()]);
     assert_eq!(written.status.code(), Some(0), "{written:?}");
     let html = std::fs::read_to_string(page.name()).expect("a page");
     assert!(html.contains("r-from-file") && html.ends_with("</html>\n"));
@@ -328,16 +335,16 @@
          \"node\":\"n1\",\"seq\":1,\"up_ms\":5,\"request\":\"r1\",\"end\":{\"refused\":\"no_upstream\"}}\n",
     );
     let from_file = run(&["explain", "r1", log.name()]);
-    assert!(text_of(&from_file.stdout).contains("n1 knew no configuration yet"));
+    assert!(decode_text(&from_file.stdout).contains("n1 knew no configuration yet"));
     let mut command = Command::new(TOOL);
     command
         .args(["logs"])
         .stdin(File::open(log.name()).expect("the file is there"));
     let from_input = command.output().expect("the program runs");
-    assert!(text_of(&from_input.stdout).contains("1 lines of 1 nodes"));
+    assert!(decode_text(&from_input.stdout).contains("1 lines of 1 nodes"));
 }
 
-/// Lines with two damaged ones: the second is cut off, the fourth no line of a node.
+/// A log with two damaged lines: the second is truncated, the fourth isn't a log line of a node.
 const DAMAGED: &str = "{\"time\":\"2026-12-02T21:00:00Z\",\"level\":\"WARN\",\"event\":801,\
     \"name\":\"request_ended\",\"node\":\"n1\",\"seq\":1,\"up_ms\":5,\"request\":\"r1\",\
     \"class\":\"lookups\",\"end\":{\"refused\":\"no_upstream\"}}\n\
@@ -348,16 +355,16 @@
     \"class\":\"lookups\",\"end\":{\"answered\":200},\"took_ms\":4,\"target_ms\":300}\n";
 
 #[test]
-fn misses_names_the_places_of_damaged_lines() {
+fn misses_lists_positions_of_damaged_lines() {
     let first = ScratchFile::new("misses-first.log", "");
     let log = ScratchFile::new("misses-damaged.log", DAMAGED);
     let output = run(&["misses", first.name(), log.name()]);
     assert_eq!(output.status.code(), Some(0), "{output:?}");
-    let complaints = text_of(&output.stderr);
-    let cut = format!("{}:2: {{\"time\":\"2026-12-02T21:00:0\n", log.name());
-    assert!(complaints.contains(&cut), "{complaints}");
+    let warnings = decode_text(&output.stderr);
+    let truncated = format!("{}:2: {{\"time\":\"2026-12-02T21:00:0\n", log.name());
+    assert!(warnings.contains(&truncated), "{warnings}");
     let other = format!("{}:4: panicked at the disk\u{fffd}[2J\n", log.name());
-    assert!(complaints.contains(&other), "{complaints}");
+    assert!(warnings.contains(&other), "{warnings}");
     let view = parse(&run(&["misses", "--json", log.name()]));
     assert_eq!(view["passed_over"][1]["line"], 4, "{view}");
     assert_eq!(view["total"]["lines"], 2, "{view}");
@@ -365,16 +372,16 @@
 }
 
 #[test]
-fn misses_says_that_figures_are_samples() {
+fn misses_marks_samples() {
     let log = ScratchFile::new("misses-sampled.log", DAMAGED);
-    let text = text_of(&run(&["misses", log.name()]).stdout);
+    let text = decode_text(&run(&["misses", log.name()]).stdout);
     assert!(text.contains("a sample, one in 16 requests"), "{text}");
     assert!(text.contains("1 on time (one in 16)"), "{text}");
     assert!(
         text.contains("refused: no upstream, no node asked"),
         "{text}"
     );
-    let all = text_of(&run(&["misses", "--one-in", "1", log.name()]).stdout);
+    let all = decode_text(&run(&["misses", "--one-in", "1", log.name()]).stdout);
     assert!(all.contains("about 50% on time"), "{all}");
 }
 
@@ -386,9 +393,9 @@
         .args(["misses", "--window", "1m"])
         .stdin(File::open(log.name()).expect("the file is there"));
     let from_input = command.output().expect("the program runs");
-    let complaints = text_of(&from_input.stderr);
-    assert!(complaints.contains("standard input:4: "), "{complaints}");
-    assert!(text_of(&from_input.stdout).contains("Windows of 60000 ms"));
+    let warnings = decode_text(&from_input.stderr);
+    assert!(warnings.contains("standard input:4: "), "{warnings}");
+    assert!(decode_text(&from_input.stdout).contains("Windows of 60000 ms"));
     for wrong in [["--window", "0s"], ["--window", "soon"], ["--one-in", "0"]] {
         let output = run(&["misses", wrong[0], wrong[1], log.name()]);
         assert_eq!(output.status.code(), Some(2), "{output:?}");
@@ -399,22 +406,22 @@
 }
 
 #[test]
-fn help_does_not_show_the_token() {
-    // Symptom: the operators' token stands in a log or on a shared screen.
-    // Sequence: the token is in the environment; somebody asks for the help of a command.
-    // Cause: the parser prints the values of the variables that it reads with their names.
+fn help_hides_token() {
+    // Symptom: the operators' token appears in a log or on a shared screen.
+    // Sequence: the token is in the environment, and somebody requests the help of a command.
+    // Cause: the parser prints the environment variables that it reads together with their values.
     let secret = "a-secret-of-operators";
-    let node = closed_address();
+    let node = find_closed_address();
     for command in [
         "status", "timeline", "explain", "misses", "drain", "evacuate", "publish",
     ] {
         let output = run_with_token(secret, &[command, "--help"]);
         assert_eq!(output.status.code(), Some(0));
-        let text = text_of(&output.stdout);
+        let text = decode_text(&output.stdout);
         assert!(text.contains("CAMPHORTURN_TOKEN"), "{text}");
         assert!(!text.contains(secret), "{text}");
     }
-    // The variable is read all the same: without a token the arguments were wrong (2).
+    // The variable is read nevertheless: without a token the exit code would be 2, for wrong arguments.
     let output = run_with_token(secret, &["status", "--node", &node]);
     assert_eq!(output.status.code(), Some(3));
 }
