--- a/src/options/checked_file.rs
+++ b/src/options/checked_file.rs
@@ -3,7 +3,7 @@
 use crate::{
     options::{
         configuration_rules::check_configuration_rules,
-        findings::{Finding, Findings, Place, Problem},
+        findings::{Finding, Findings, Problem, TextPosition},
         json_document::JsonDocument,
         schema_check::find_schema_errors,
     },
@@ -23,7 +23,7 @@
     fs::read_to_string(path).map_err(|error| {
         Findings(vec![Finding {
             file: path.display().to_string(),
-            place: Place::START,
+            position: TextPosition::START,
             path: "$".to_owned(),
             problem: Problem::Unreadable(error.to_string()),
             suggestion: "check the file's name and access rights".to_owned(),
--- a/src/options/configuration_rules.rs
+++ b/src/options/configuration_rules.rs
@@ -15,15 +15,15 @@
     let classes = || configuration.classes.iter().enumerate();
     let names =
         classes().map(|(index, class)| (format!("/classes/{index}/name"), class.name.to_string()));
-    let places = classes().map(|(index, class)| {
+    let host_prefixes = classes().map(|(index, class)| {
         let host = class.host.to_ascii_lowercase();
         let pointer = format!("/classes/{index}/path_prefix");
         (pointer, format!("{host}{}", class.path_prefix))
     });
-    let mut broken = find_repeated(services, "name each service differently");
-    broken.extend(find_repeated(names, "name each class differently"));
-    broken.extend(find_repeated(
-        places,
+    let mut broken = find_duplicates(services, "name each service differently");
+    broken.extend(find_duplicates(names, "name each class differently"));
+    broken.extend(find_duplicates(
+        host_prefixes,
         "let a host and path prefix belong to one class only",
     ));
     let known: BTreeSet<&str> = configuration
@@ -39,13 +39,13 @@
     broken
 }
 
-fn find_repeated(
-    named: impl Iterator<Item = (String, String)>,
+fn find_duplicates(
+    names: impl Iterator<Item = (String, String)>,
     suggestion: &str,
 ) -> Vec<BrokenRule> {
     let mut seen = BTreeSet::new();
     let mut broken = Vec::new();
-    for (pointer, name) in named {
+    for (pointer, name) in names {
         if !seen.insert(name.clone()) {
             let message = format!("`{name}` stands here for the second time");
             broken.push(BrokenRule::conflict(pointer, message, suggestion));
--- a/src/options/findings.rs
+++ b/src/options/findings.rs
@@ -6,14 +6,14 @@
 
 /// A place in a file, counted from 1. Columns count characters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
-pub struct Place {
+pub struct TextPosition {
     /// Line.
     pub line: usize,
     /// Character within the line.
     pub column: usize,
 }
 
-impl Place {
+impl TextPosition {
     /// The first character of a file.
     pub const START: Self = Self { line: 1, column: 1 };
 }
@@ -54,7 +54,8 @@
     /// Name of the file as it was given.
     pub file: String,
     /// Where in the file.
-    pub place: Place,
+    #[serde(rename = "place")]
+    pub position: TextPosition,
     /// Path of the value, such as `$.callers.listen`.
     pub path: String,
     /// What is wrong.
@@ -65,7 +66,7 @@
 
 impl fmt::Display for Finding {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Place { line, column } = self.place;
+        let TextPosition { line, column } = self.position;
         write!(f, "{}:{line}:{column}: {}: ", self.file, self.path)?;
         write!(f, "{}; {}", self.problem, self.suggestion)
     }
@@ -85,7 +86,7 @@
         if self.0.is_empty() {
             return Ok(value);
         }
-        self.0.sort_by_key(|finding| finding.place);
+        self.0.sort_by_key(|finding| finding.position);
         Err(self)
     }
 }
--- a/src/options/json_document.rs
+++ b/src/options/json_document.rs
@@ -1,6 +1,6 @@
 //! JSON with comments, with the place of every value and key.
 
-use crate::options::findings::{Finding, Place, Problem};
+use crate::options::findings::{Finding, Problem, TextPosition};
 use jsonc_parser::{
     CollectOptions, ParseOptions,
     ast::{Object, Value as Node},
@@ -30,7 +30,7 @@
     file_name: String,
     value: Value,
     /// Place of each value (of its key, for a member of an object) by JSON pointer.
-    places: BTreeMap<String, Place>,
+    positions: BTreeMap<String, TextPosition>,
     duplicates: Vec<DuplicateKey>,
 }
 
@@ -38,7 +38,7 @@
 struct DuplicateKey {
     pointer: String,
     key: String,
-    place: Place,
+    position: TextPosition,
 }
 
 impl JsonDocument {
@@ -48,28 +48,28 @@
     /// The first place at which the text stops being JSON with comments; the parser can't tell what
     /// was meant after it.
     pub fn parse(file_name: &str, text: &str) -> Result<Self, Finding> {
-        let syntax_finding = |place, message: String| Finding {
+        let syntax_finding = |position, message: String| Finding {
             file: file_name.to_owned(),
-            place,
+            position,
             path: "$".to_owned(),
             problem: Problem::Syntax(message),
             suggestion: "write JSON; comments and trailing commas are allowed".to_owned(),
         };
-        let mut walk = PlaceWalk::new(text);
+        let mut collector = PositionCollector::new(text);
         let parsed = parse_to_ast(text, &CollectOptions::default(), &SYNTAX).map_err(|error| {
-            let place = walk.place_of(error.range().start);
-            syntax_finding(place, error.kind().to_string())
+            let position = collector.compute_position(error.range().start);
+            syntax_finding(position, error.kind().to_string())
         })?;
         let root = parsed
             .value
-            .ok_or_else(|| syntax_finding(Place::START, "the file is empty".to_owned()))?;
-        walk.add_place("", root.start());
-        walk.visit(&root, "");
+            .ok_or_else(|| syntax_finding(TextPosition::START, "the file is empty".to_owned()))?;
+        collector.record_position("", root.start());
+        collector.visit(&root, "");
         Ok(Self {
             file_name: file_name.to_owned(),
             value: root.into(),
-            places: walk.places,
-            duplicates: walk.duplicates,
+            positions: collector.positions,
+            duplicates: collector.duplicates,
         })
     }
 
@@ -82,7 +82,7 @@
     /// A finding at the place of `pointer`, or of the nearest value around it.
     #[must_use]
     pub fn finding_at(&self, pointer: &str, problem: Problem, suggestion: String) -> Finding {
-        self.make_finding(self.find_place(pointer), pointer, problem, suggestion)
+        self.make_finding(self.find_position(pointer), pointer, problem, suggestion)
     }
 
     /// A finding for every key that stands twice. The JSON value itself keeps only the last one.
@@ -91,36 +91,36 @@
         let finding = |duplicate: &DuplicateKey| {
             let problem = Problem::DuplicateKey(duplicate.key.clone());
             let suggestion = "keep one of them".to_owned();
-            self.make_finding(duplicate.place, &duplicate.pointer, problem, suggestion)
+            self.make_finding(duplicate.position, &duplicate.pointer, problem, suggestion)
         };
         self.duplicates.iter().map(finding).collect()
     }
 
     fn make_finding(
         &self,
-        place: Place,
+        position: TextPosition,
         pointer: &str,
         problem: Problem,
         suggestion: String,
     ) -> Finding {
         Finding {
             file: self.file_name.clone(),
-            place,
+            position,
             path: format_path(pointer),
             problem,
             suggestion,
         }
     }
 
-    fn find_place(&self, pointer: &str) -> Place {
+    fn find_position(&self, pointer: &str) -> TextPosition {
         let mut prefix = pointer;
         loop {
-            if let Some(place) = self.places.get(prefix) {
-                return *place;
+            if let Some(position) = self.positions.get(prefix) {
+                return *position;
             }
             match prefix.rfind('/') {
                 Some(end) => prefix = &prefix[..end],
-                None => return Place::START,
+                None => return TextPosition::START,
             }
         }
     }
@@ -147,20 +147,20 @@
     path
 }
 
-struct PlaceWalk<'a> {
+struct PositionCollector<'a> {
     text: &'a str,
     line_starts: Vec<usize>,
-    places: BTreeMap<String, Place>,
+    positions: BTreeMap<String, TextPosition>,
     duplicates: Vec<DuplicateKey>,
 }
 
-impl<'a> PlaceWalk<'a> {
+impl<'a> PositionCollector<'a> {
     fn new(text: &'a str) -> Self {
         let later_lines = text.match_indices('\n').map(|(at, _)| at + 1);
         Self {
             text,
             line_starts: std::iter::once(0).chain(later_lines).collect(),
-            places: BTreeMap::new(),
+            positions: BTreeMap::new(),
             duplicates: Vec::new(),
         }
     }
@@ -172,7 +172,7 @@
             Node::Array(array) => {
                 for (index, element) in array.elements.iter().enumerate() {
                     let pointer = format!("{pointer}/{index}");
-                    self.add_place(&pointer, element.start());
+                    self.record_position(&pointer, element.start());
                     self.visit(element, &pointer);
                 }
             }
@@ -187,27 +187,27 @@
         for property in &object.properties {
             let key = property.name.as_str();
             let pointer = join_pointer(pointer, key);
-            let place = self.place_of(property.start());
-            if self.places.insert(pointer.clone(), place).is_some() {
+            let position = self.compute_position(property.start());
+            if self.positions.insert(pointer.clone(), position).is_some() {
                 self.duplicates.push(DuplicateKey {
                     pointer: pointer.clone(),
                     key: key.to_owned(),
-                    place,
+                    position,
                 });
             }
             self.visit(&property.value, &pointer);
         }
     }
 
-    fn add_place(&mut self, pointer: &str, offset: usize) {
-        let place = self.place_of(offset);
-        self.places.insert(pointer.to_owned(), place);
+    fn record_position(&mut self, pointer: &str, offset: usize) {
+        let position = self.compute_position(offset);
+        self.positions.insert(pointer.to_owned(), position);
     }
 
-    fn place_of(&self, offset: usize) -> Place {
+    fn compute_position(&self, offset: usize) -> TextPosition {
         let line = self.line_starts.partition_point(|start| *start <= offset);
         let start = self.line_starts[line - 1];
         let column = self.text[start..offset].chars().count() + 1;
-        Place { line, column }
+        TextPosition { line, column }
     }
 }
--- a/tests/integration/options.rs
+++ b/tests/integration/options.rs
@@ -248,8 +248,8 @@
 fn check_any_text_gives_findings_with_places() {
     check!().for_each(|bytes: &[u8]| {
         let text = String::from_utf8_lossy(bytes);
-        assert_places(&text);
-        assert_places(&format!("{{ \"services\": {text} }}"));
+        assert_valid_positions(&text);
+        assert_valid_positions(&format!("{{ \"services\": {text} }}"));
     });
 }
 
@@ -262,18 +262,18 @@
             let from = usize::from(*from) % bytes.len();
             let to = from + usize::from(*to) % (bytes.len() - from).min(64);
             bytes.splice(from..to, [*byte]);
-            assert_places(&String::from_utf8_lossy(&bytes));
+            assert_valid_positions(&String::from_utf8_lossy(&bytes));
         });
 }
 
-fn assert_places(text: &str) {
+fn assert_valid_positions(text: &str) {
     let Err(findings) = check_configuration("any", text) else {
         return;
     };
     assert!(!findings.0.is_empty());
     let lines = text.split('\n').count();
     for finding in findings.0 {
-        assert!((1..=lines).contains(&finding.place.line), "{finding}");
-        assert!(finding.place.column >= 1, "{finding}");
+        assert!((1..=lines).contains(&finding.position.line), "{finding}");
+        assert!(finding.position.column >= 1, "{finding}");
     }
 }
