--- a/src/options.rs
+++ b/src/options.rs
@@ -1,4 +1,4 @@
-//! What a process is told: command-line arguments and files, checked with all findings together.
+//! Command-line arguments, settings and configuration files. A check of a file reports all its findings at once.
 
 pub mod access;
 pub mod arguments;
--- a/src/options/access.rs
+++ b/src/options/access.rs
@@ -1,4 +1,4 @@
-//! How operators' tools find the nodes, and what they prove themselves with.
+//! Node addresses and the bearer token that operators' tools use.
 
 use crate::options::secret::Secret;
 use bpaf::{Bpaf, Parser, long};
@@ -9,7 +9,7 @@
 };
 use thiserror::Error;
 
-/// Environment variable with the operators' token.
+/// Environment variable that holds the operators' token.
 const TOKEN_VARIABLE: &str = "CAMPHORTURN_TOKEN";
 
 /// Arguments of every command that talks to nodes.
@@ -26,10 +26,10 @@
     pub token_file: Option<PathBuf>,
 }
 
-/// The token, from the argument or else the environment.
+/// Parses the token from the argument, or reads it from the environment if the argument is missing.
 ///
-/// The parser's own support for environment variables isn't used: it prints their values with the
-/// help, and a token would stand in whatever log or screen the help goes to.
+/// This does not use bpaf's support for environment variables: bpaf prints their values in the help text, which
+/// would show the token in logs and on screens.
 fn token_argument() -> impl Parser<Option<String>> {
     long("token")
         .help(
@@ -41,39 +41,41 @@
         .map(|given| given.or_else(|| env::var(TOKEN_VARIABLE).ok()))
 }
 
-/// Where the nodes are and what to prove oneself with.
+/// Addresses and credentials for requests to the operators' interface of the nodes.
 #[derive(Clone, Debug)]
 pub struct OperatorAccess {
-    /// Operator addresses to begin with; at least one.
+    /// Operator addresses to contact first; at least one.
     pub nodes: Vec<SocketAddr>,
-    /// Sent as a bearer token.
+    /// Token that is sent in the `Authorization` header.
     pub token: Secret,
 }
 
-/// The arguments don't say how to reach something.
+/// The arguments hold too little to contact a node.
 #[derive(Debug, Error)]
 pub enum AccessError {
-    /// No address of a node.
-    #[error("no node is named; give --node IP:PORT")]
+    /// No node address was given.
+    #[error("no node address given; use --node IP:PORT")]
     NoNode,
-    /// No token.
-    #[error("no token is given; set CAMPHORTURN_TOKEN, or give --token-file FILE")]
+    /// Neither the arguments nor the environment hold a token.
+    #[error("no token given; set CAMPHORTURN_TOKEN or use --token-file FILE")]
     NoToken,
-    /// The token's file can't be read.
+    /// The token file can't be read.
     #[error("can't read the token from {path}: {error}", path = .path.display())]
     TokenFile {
-        /// The file.
+        /// Path of the token file.
         path: PathBuf,
-        /// Why not.
+        /// Why reading failed.
         error: io::Error,
     },
 }
 
 impl AccessArguments {
-    /// Checks that the arguments say where nodes are and what to prove oneself with.
+    /// Checks that the arguments hold a node address and a token, and reads the token file if there is one.
+    ///
+    /// A token from `--token` or the environment takes precedence over the file.
     ///
     /// # Errors
-    /// Something is missing, or the token's file can't be read.
+    /// An address or the token is missing, or the token file can't be read.
     pub fn resolve(&self) -> Result<OperatorAccess, AccessError> {
         if self.nodes.is_empty() {
             return Err(AccessError::NoNode);
@@ -90,7 +92,7 @@
     }
 }
 
-/// A token file ends with a line break where an editor wrote it: that isn't part of the token.
+/// Reads the token from a file. Surrounding white space, such as the line break that editors add, is removed.
 fn read_token(path: &Path) -> Result<Secret, AccessError> {
     let text = fs::read_to_string(path).map_err(|error| AccessError::TokenFile {
         path: path.to_owned(),
--- a/src/options/arguments.rs
+++ b/src/options/arguments.rs
@@ -34,22 +34,22 @@
     /// Show all nodes, classes against their targets, and what is wrong
     #[bpaf(command)]
     Status(#[bpaf(external(status_arguments))] StatusArguments),
-    /// Show the lines of all nodes in causal order
+    /// Show the log lines of all nodes in causal order
     #[bpaf(command)]
     Timeline(#[bpaf(external(timeline_arguments))] TimelineArguments),
-    /// Tell what became of one request and why
+    /// Explain the outcome of one request
     #[bpaf(command)]
     Explain(#[bpaf(external(explain_arguments))] ExplainArguments),
-    /// Sum up what the lines of all nodes say
+    /// Summarize the log lines of all nodes
     #[bpaf(command)]
     Logs(#[bpaf(external(logs_arguments))] LogsArguments),
     /// Show which requests were not served on time, when and why
     #[bpaf(command)]
     Misses(#[bpaf(external(misses_arguments))] MissesArguments),
-    /// Let an upstream take no new work and finish what it has
+    /// Stop new requests to an upstream and let it finish those in progress
     #[bpaf(command)]
     Drain(#[bpaf(external(drain_arguments))] DrainArguments),
-    /// Send nothing to the upstreams of an availability zone until it is taken back
+    /// Send no requests to the upstreams of an availability zone until it is restored
     #[bpaf(command)]
     Evacuate(#[bpaf(external(evacuate_arguments))] EvacuateArguments),
     /// Run a whole mesh in this process, with stand-ins for upstreams and the store
@@ -58,17 +58,17 @@
 }
 
 impl Command {
-    /// Reads the arguments of this process.
+    /// Parses the arguments of this process.
     ///
     /// # Errors
-    /// The code to exit with, after help, version or a complaint was printed.
+    /// The exit code of the process, after the help, the version or a message about wrong arguments was printed.
     pub fn from_process() -> Result<Self, ExitCode> {
         let parsed = command().run_inner(bpaf::Args::current_args());
         parsed.map_err(|failure| report_parse_failure(&failure))
     }
 }
 
-/// Prints help, version or a complaint about the arguments; the process then exits with the code.
+/// Prints the help, the version or a message about wrong arguments. Returns the exit code of the process.
 fn report_parse_failure(failure: &ParseFailure) -> ExitCode {
     failure.print_message(TERMINAL_WIDTH);
     match failure {
@@ -77,5 +77,5 @@
     }
 }
 
-/// Width that help texts are wrapped at, in characters.
+/// Help texts are wrapped at this width, in characters.
 const TERMINAL_WIDTH: usize = 80;
--- a/src/options/checked_file.rs
+++ b/src/options/checked_file.rs
@@ -1,4 +1,4 @@
-//! Checks a file against its JSON schema and its cross-value rules, reporting everything at once.
+//! Checks a file against its JSON schema and against rules between values, and reports all findings at once.
 
 use crate::{
     options::{
@@ -12,13 +12,13 @@
 use serde::de::DeserializeOwned;
 use std::{fs, path::Path};
 
-/// Schema of the published configuration.
+/// JSON schema of the published configuration.
 pub const CONFIGURATION_SCHEMA: &str = include_str!("../../schema/configuration.json");
 
-/// Reads a file that is to be checked.
+/// Reads a file that will be checked.
 ///
 /// # Errors
-/// One finding that says why it can't be read.
+/// One finding with the reason why the file can't be read.
 pub fn read_file(path: &Path) -> Result<String, Findings> {
     fs::read_to_string(path).map_err(|error| {
         Findings(vec![Finding {
@@ -31,19 +31,19 @@
     })
 }
 
-/// A rule between values that the schema can't state was broken.
+/// A violation of a rule that the schema can't express, such as one between two values.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BrokenRule {
     /// JSON pointer to the value to change.
     pub pointer: String,
-    /// What is wrong.
+    /// What is wrong with the value.
     pub problem: Problem,
-    /// What to do about it.
+    /// How to fix it.
     pub suggestion: String,
 }
 
 impl BrokenRule {
-    /// Two values that don't agree.
+    /// Builds the violation for two values that contradict each other.
     #[must_use]
     pub fn conflict(pointer: impl Into<String>, message: String, suggestion: &str) -> Self {
         Self {
@@ -54,10 +54,10 @@
     }
 }
 
-/// Checks the text of a published configuration. `file_name` only labels findings.
+/// Parses and checks the text of a configuration. `file_name` is used only in findings.
 ///
 /// # Errors
-/// Every finding, with its place.
+/// All findings, with their positions in the text.
 pub fn check_configuration(file_name: &str, text: &str) -> Result<Configuration, Findings> {
     check_file(
         file_name,
@@ -67,12 +67,12 @@
     )
 }
 
-/// Checks a configuration that comes from elsewhere than a file, such as a request of a tool.
+/// Checks a configuration that does not come from a file, such as one in a request of an operators' tool.
 ///
-/// Places are those in its indented JSON form. `source` only labels findings.
+/// Positions refer to its indented JSON form. `source` is used only in findings, as the file name.
 ///
 /// # Errors
-/// Every finding.
+/// All findings.
 pub fn validate_configuration(source: &str, configuration: &Configuration) -> Result<(), Findings> {
     let text = serde_json::to_string_pretty(configuration).unwrap_or_default();
     check_configuration(source, &text).map(|_| ())
@@ -80,7 +80,7 @@
 
 /// Checks a text against a schema, then against rules between values.
 ///
-/// The rules run only on what fits the schema: their findings would else repeat the schema's.
+/// The rules are checked only if the text matches the schema; otherwise they would report the same faults again.
 fn check_file<T: DeserializeOwned>(
     file_name: &str,
     text: &str,
--- a/src/options/configuration_rules.rs
+++ b/src/options/configuration_rules.rs
@@ -1,4 +1,4 @@
-//! Rules between the values of a published configuration.
+//! Rules of a published configuration that its JSON schema can't express.
 
 use crate::{
     options::checked_file::BrokenRule,
@@ -6,7 +6,11 @@
 };
 use std::collections::BTreeSet;
 
-/// Every rule that the configuration breaks.
+/// Returns all violations of these rules in a configuration.
+///
+/// The names of services, the names of classes, and the pairs of host and path prefix must be unique. Each class
+/// must refer only to services that exist, must have a service with a weight above 0, and must not have a timeout
+/// below its target.
 #[must_use]
 pub fn check_configuration_rules(configuration: &Configuration) -> Vec<BrokenRule> {
     let services = configuration.services.iter().enumerate();
@@ -20,11 +24,11 @@
         let pointer = format!("/classes/{index}/path_prefix");
         (pointer, format!("{host}{}", class.path_prefix))
     });
-    let mut broken = find_duplicates(services, "name each service differently");
-    broken.extend(find_duplicates(names, "name each class differently"));
+    let mut broken = find_duplicates(services, "give each service a unique name");
+    broken.extend(find_duplicates(names, "give each class a unique name"));
     broken.extend(find_duplicates(
         host_prefixes,
-        "let a host and path prefix belong to one class only",
+        "use each pair of host and path prefix in one class only",
     ));
     let known: BTreeSet<&str> = configuration
         .services
@@ -39,6 +43,7 @@
     broken
 }
 
+/// Finds repeated names. `names` holds pairs of the JSON pointer to a name and the name.
 fn find_duplicates(
     names: impl Iterator<Item = (String, String)>,
     suggestion: &str,
@@ -47,7 +52,7 @@
     let mut broken = Vec::new();
     for (pointer, name) in names {
         if !seen.insert(name.clone()) {
-            let message = format!("`{name}` stands here for the second time");
+            let message = format!("`{name}` is used more than once");
             broken.push(BrokenRule::conflict(pointer, message, suggestion));
         }
     }
@@ -67,7 +72,7 @@
     }
     if class.services.iter().all(|share| share.weight == 0) {
         let message = "no service of the class has a weight above 0".to_owned();
-        let suggestion = "give one of them a weight";
+        let suggestion = "give at least one service a weight above 0";
         let pointer = format!("{pointer}/services");
         broken.push(BrokenRule::conflict(pointer, message, suggestion));
     }
@@ -88,7 +93,7 @@
             BrokenRule::conflict(
                 pointer,
                 message,
-                "add it to `services`, or correct the name",
+                "add the service to `services`, or correct the name",
             )
         })
         .collect()
--- a/src/options/exit_code.rs
+++ b/src/options/exit_code.rs
@@ -1,27 +1,27 @@
-//! How a process ended, as its parent sees it.
+//! Exit codes of the operators' tool.
 
 use std::process;
 
-/// Exit codes of the tool. `docs/operators/exit-codes.md` lists them.
+/// Exit code of the operators' tool. `docs/operators/exit-codes.md` lists the codes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum ExitCode {
-    /// Done.
+    /// The command succeeded.
     Success = 0,
-    /// Tried and failed, for a reason without a code of its own.
+    /// The command failed for a reason that has no code of its own.
     Failed = 1,
-    /// The arguments or a file are wrong; nothing was tried.
+    /// The arguments or an input file are wrong. Nothing was attempted.
     BadInput = 2,
-    /// No node could be reached, or the store could not.
+    /// No node could be reached, or the store was unavailable.
     Unreachable = 3,
-    /// Another publication came first.
+    /// Another publication was accepted first.
     Conflict = 4,
-    /// Done, but not seen everywhere in the time given.
+    /// The command succeeded in part: some nodes were not reached, or did not confirm the change in time.
     Partial = 5,
 }
 
 impl ExitCode {
-    /// All of them, in the order of their numbers.
+    /// All exit codes in ascending order.
     pub const ALL: [Self; 6] = [
         Self::Success,
         Self::Failed,
--- a/src/options/findings.rs
+++ b/src/options/findings.rs
@@ -1,66 +1,66 @@
-//! Findings about a file: collected with their places and reported together.
+//! Findings about a checked file, with their positions.
 
 use serde::Serialize;
 use std::fmt;
 use thiserror::Error;
 
-/// A place in a file, counted from 1. Columns count characters.
+/// A position in a text file. Lines and columns start at 1; columns count characters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 pub struct TextPosition {
-    /// Line.
+    /// Line number.
     pub line: usize,
-    /// Character within the line.
+    /// Character number within the line.
     pub column: usize,
 }
 
 impl TextPosition {
-    /// The first character of a file.
+    /// Position of the first character of a file.
     pub const START: Self = Self { line: 1, column: 1 };
 }
 
-/// What is wrong.
+/// What is wrong with a file or a value.
 #[derive(Clone, Debug, PartialEq, Eq, Error, Serialize)]
 #[serde(tag = "kind", content = "detail", rename_all = "snake_case")]
 pub enum Problem {
-    /// The file can't be read.
+    /// The file can't be read, for example because it does not exist.
     #[error("can't be read: {0}")]
     Unreadable(String),
-    /// Not JSON with comments.
+    /// The text is not valid JSON with comments.
     #[error("syntax: {0}")]
     Syntax(String),
-    /// A key that nothing reads.
+    /// The schema has no such key.
     #[error("unknown key `{0}`")]
     UnknownKey(String),
-    /// A key that stands twice in one object.
-    #[error("key `{0}` stands twice")]
+    /// The key occurs more than once in the same object.
+    #[error("duplicate key `{0}`")]
     DuplicateKey(String),
-    /// A key that has no default and is not given.
+    /// A required key is missing.
     #[error("key `{0}` is missing")]
     MissingKey(String),
-    /// A value of another type than the key takes.
+    /// The value has another type than the schema demands.
     #[error("wrong type: {0}")]
     WrongType(String),
-    /// A value outside of what the key takes.
+    /// The type is right, but the schema does not allow the value.
     #[error("not allowed: {0}")]
     OutOfRange(String),
-    /// A value that doesn't agree with another one.
+    /// The value contradicts another one.
     #[error("conflict: {0}")]
     Conflict(String),
 }
 
-/// One finding.
+/// One fault in a file.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Finding {
     /// Name of the file as it was given.
     pub file: String,
-    /// Where in the file.
+    /// Where the fault is in the file.
     #[serde(rename = "place")]
     pub position: TextPosition,
-    /// Path of the value, such as `$.callers.listen`.
+    /// Path of the value in the JSON document, such as `$.services[0].name`.
     pub path: String,
-    /// What is wrong.
+    /// What is wrong with the value.
     pub problem: Problem,
-    /// What to do about it.
+    /// How to fix it.
     pub suggestion: String,
 }
 
@@ -72,16 +72,16 @@
     }
 }
 
-/// All findings about one or several files, in the order of their places.
+/// Findings about one or more files.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Error, Serialize)]
 #[serde(transparent)]
 pub struct Findings(pub Vec<Finding>);
 
 impl Findings {
-    /// `Ok(value)` if there is no finding, else all of them in the order of their places.
+    /// Returns `value` if there are no findings.
     ///
     /// # Errors
-    /// The findings themselves, if there are any.
+    /// The findings, sorted by position, if there are any.
     pub fn into_result<T>(mut self, value: T) -> Result<T, Self> {
         if self.0.is_empty() {
             return Ok(value);
--- a/src/options/json_document.rs
+++ b/src/options/json_document.rs
@@ -1,4 +1,4 @@
-//! JSON with comments, with the place of every value and key.
+//! Parser of JSON with comments that keeps the position of every value and key.
 
 use crate::options::findings::{Finding, Problem, TextPosition};
 use jsonc_parser::{
@@ -10,7 +10,7 @@
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// JSON with comments and trailing commas, and nothing else beyond JSON.
+/// Accepts comments and trailing commas, and no other extensions of JSON.
 const SYNTAX: ParseOptions = ParseOptions {
     allow_comments: true,
     allow_loose_object_property_names: false,
@@ -24,12 +24,12 @@
     allow_extended_string_escapes: false,
 };
 
-/// A parsed file.
+/// A parsed JSON file with the positions of its values.
 #[derive(Debug)]
 pub struct JsonDocument {
     file_name: String,
     value: Value,
-    /// Place of each value (of its key, for a member of an object) by JSON pointer.
+    /// Positions by JSON pointer: of the value, or of its key if it is a member of an object.
     positions: BTreeMap<String, TextPosition>,
     duplicates: Vec<DuplicateKey>,
 }
@@ -42,11 +42,10 @@
 }
 
 impl JsonDocument {
-    /// Parses `text`; `file_name` only labels findings.
+    /// Parses `text`. `file_name` is used only in findings.
     ///
     /// # Errors
-    /// The first place at which the text stops being JSON with comments; the parser can't tell what
-    /// was meant after it.
+    /// The first syntax error; the parser does not continue after it.
     pub fn parse(file_name: &str, text: &str) -> Result<Self, Finding> {
         let syntax_finding = |position, message: String| Finding {
             file: file_name.to_owned(),
@@ -73,19 +72,19 @@
         })
     }
 
-    /// The content.
+    /// The JSON value. Where a key occurs more than once in an object, it holds the last one.
     #[must_use]
     pub fn value(&self) -> &Value {
         &self.value
     }
 
-    /// A finding at the place of `pointer`, or of the nearest value around it.
+    /// Builds a finding at the position of `pointer`, or of the nearest enclosing value that has a position.
     #[must_use]
     pub fn finding_at(&self, pointer: &str, problem: Problem, suggestion: String) -> Finding {
         self.make_finding(self.find_position(pointer), pointer, problem, suggestion)
     }
 
-    /// A finding for every key that stands twice. The JSON value itself keeps only the last one.
+    /// Returns a finding for every duplicate key.
     #[must_use]
     pub fn find_duplicate_keys(&self) -> Vec<Finding> {
         let finding = |duplicate: &DuplicateKey| {
@@ -126,14 +125,14 @@
     }
 }
 
-/// Joins a key to a JSON pointer.
+/// Appends a key to a JSON pointer.
 #[must_use]
 pub fn join_pointer(pointer: &str, key: &str) -> String {
     let escaped = key.replace('~', "~0").replace('/', "~1");
     format!("{pointer}/{escaped}")
 }
 
-/// Writes a JSON pointer as people read it: `/services/0/name` as `$.services[0].name`.
+/// Formats a JSON pointer as a path: `/services/0/name` becomes `$.services[0].name`.
 fn format_path(pointer: &str) -> String {
     let mut path = String::from("$");
     for part in pointer.split('/').skip(1) {
@@ -147,6 +146,7 @@
     path
 }
 
+/// Walks a syntax tree and collects the positions of values and keys, and the duplicate keys.
 struct PositionCollector<'a> {
     text: &'a str,
     line_starts: Vec<usize>,
@@ -165,7 +165,7 @@
         }
     }
 
-    // The parser bounds the nesting depth, and so the depth of this recursion.
+    // The parser limits the nesting depth, and with it the depth of this recursion.
     fn visit(&mut self, node: &Node<'_>, pointer: &str) {
         match node {
             Node::Object(object) => self.visit_object(object, pointer),
--- a/src/options/proxy_settings.rs
+++ b/src/options/proxy_settings.rs
@@ -1,4 +1,4 @@
-//! What a node is told at its start.
+//! Settings of a node.
 
 use crate::{
     coordination::{retry_budget::RetryBudgetSettings, slow_start::SlowStartSettings},
@@ -7,36 +7,35 @@
 use http::HeaderName;
 use std::{net::SocketAddr, time::Duration};
 
-/// Of late requests so many times more are written than of those that go as they should. Written in full they
-/// would take 9% of a node's processor time on a day of high load.
+/// Late requests are logged this many times as often as ordinary ones. Logging all of them would take 9% of a node's
+/// processor time on a day of high load.
 const LATE_SAMPLING_FACTOR: u64 = 2;
 
-/// Names of the headers that clients and upstreams use. They differ between platforms; the node
-/// only knows what each holds.
+/// Names of the HTTP headers between a node and its clients and local upstream. They differ between platforms.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HeaderNames {
-    /// Identity of a request; an upstream repeats it in its answer.
+    /// Id of a request. The upstream returns it in its answer.
     pub request_id: HeaderName,
-    /// Time until the deadline, in milliseconds.
+    /// Time left until the deadline of a request, in milliseconds.
     pub time_left: HeaderName,
-    /// Proof that an answer is an upstream's.
+    /// Signature of the upstream. An answer without it does not come from an upstream.
     pub signature: HeaderName,
-    /// Names the run of an upstream that is to run a request.
+    /// In a request, the instance id of the upstream incarnation that the request is for.
     pub target_instance: HeaderName,
-    /// The run of an upstream that answered.
+    /// In an answer, the instance id of the upstream incarnation that answered.
     pub instance: HeaderName,
-    /// Service on the VM where a request began.
+    /// Service that runs on the VM where the client sent the request.
     pub caller_service: HeaderName,
-    /// Stands on an answer to a request that was not run.
+    /// Present on answers to requests that the upstream did not run.
     pub not_executed: HeaderName,
-    /// Load of an upstream: running, waiting, slots, slowdown in percent.
+    /// Load of an upstream: running requests, waiting requests, slots, and slowdown in percent.
     pub load: HeaderName,
-    /// On answers to health questions: how much longer the upstream is cold, in milliseconds.
+    /// On answers to health checks, the remaining warm-up time of the upstream, in milliseconds.
     pub warmup_left: HeaderName,
 }
 
 impl HeaderNames {
-    /// The product's own names, for upstreams without a platform that names them.
+    /// Header names for nodes that run without a platform that defines its own.
     #[must_use]
     pub const fn default_names() -> Self {
         Self {
@@ -53,18 +52,18 @@
     }
 }
 
-/// Which lines of the log are written, and which are kept.
+/// Sampling and retention of log lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LogSettings {
-    /// Of requests that go as they should, one in so many is written, the same ones at all nodes: a
-    /// request of which only some nodes tell explains nothing.
+    /// One in this many ordinary requests, which were answered in time, is logged. All nodes log the same requests,
+    /// because a request that only some nodes log can't be traced.
     pub ordinary_one_in: u64,
-    /// Lines kept in memory for operators' tools.
+    /// Number of the newest log lines that are kept in memory for operators' tools.
     pub kept_lines: usize,
 }
 
 impl LogSettings {
-    /// Of late requests, one in so many is written.
+    /// One in this many late requests is logged; at least 1.
     #[must_use]
     pub const fn late_one_in(&self) -> u64 {
         let one_in = self.ordinary_one_in / LATE_SAMPLING_FACTOR;
@@ -72,47 +71,48 @@
     }
 }
 
-/// Time until an accepted configuration is in force at all nodes, where nothing else is told.
+/// Default of [`NodeLimits::configuration_apply_timeout`].
 pub const DEFAULT_CONFIGURATION_APPLY_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Bounds on what a node does. They may change while it runs.
+/// Limits of a node. They may change while the node runs.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct NodeLimits {
-    /// Bounds on repeated requests.
+    /// Limits on retries.
     pub retry_budget: RetryBudgetSettings,
-    /// Most questions a second to the upstream for its load.
+    /// Maximum number of load probes to the local upstream per second.
     pub probes_per_second: f64,
-    /// Time from the order to stop until the process is killed.
+    /// Time from the request to stop until the platform kills the process.
     pub shutdown_grace: Duration,
-    /// Longest time from the acknowledgement of a configuration until it is in force at all nodes.
+    /// Maximum time from the acceptance of a configuration until it is in force at all nodes.
     pub configuration_apply_timeout: Duration,
-    /// Bounds on what a cold upstream gets.
+    /// Limits on the requests that an upstream gets during its warm-up.
     pub slow_start: SlowStartSettings,
 }
 
-/// Settings of one node.
+/// Settings of a node.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ProxySettings {
     /// Name of the node.
     pub name: NodeName,
-    /// Availability zone of its VM.
+    /// Availability zone of the VM.
     pub availability_zone: AvailabilityZoneName,
-    /// Where clients on the VM send requests.
+    /// Listening address for clients on the same VM.
     pub client_address: SocketAddr,
-    /// Where other nodes send requests.
+    /// Listening address for other nodes. It identifies the node within the mesh.
     pub peer_address: SocketAddr,
-    /// Where the upstream on the VM listens.
+    /// Address of the local upstream.
     pub upstream_address: SocketAddr,
-    /// Its service.
+    /// Service of the local upstream.
     pub service: ServiceName,
-    /// Bounds that may change while the node runs.
+    /// Limits that may change while the node runs.
     pub limits: NodeLimits,
-    /// Which lines of the log are written and kept.
+    /// Sampling and retention of log lines.
     pub log: LogSettings,
-    /// Where operators' tools reach the node, if they can.
+    /// Listening address for operators' tools, if the node has one.
     pub operator_address: Option<SocketAddr>,
-    /// The whole mesh starts for the first time: the store holds no records of it, and nobody waits for it yet.
+    /// Whether the whole mesh starts for the first time. Then the store holds no records of it, and no client waits
+    /// for it yet.
     pub first_start: bool,
-    /// Header names of the platform.
+    /// Names of the HTTP headers.
     pub headers: HeaderNames,
 }
--- a/src/options/schema_check.rs
+++ b/src/options/schema_check.rs
@@ -1,4 +1,4 @@
-//! Turns what the JSON schema validator reports into findings with places and suggestions.
+//! Converts errors of the JSON schema validator to findings with positions and suggestions.
 
 use crate::options::{
     findings::{Finding, Problem},
@@ -8,10 +8,10 @@
 use serde_json::Value;
 use std::net::SocketAddr;
 
-/// Longest edit distance at which a known key is suggested for an unknown one.
-const NEAREST_KEY_DISTANCE: usize = 4;
+/// Maximum edit distance between an unknown key and the known key that is suggested instead.
+const MAX_SUGGESTION_DISTANCE: usize = 4;
 
-/// Every place at which the document doesn't fit the schema.
+/// Returns a finding for every violation of the schema.
 pub fn find_schema_errors(document: &JsonDocument, schema: &str) -> Vec<Finding> {
     let schema: Value = serde_json::from_str(schema).expect("the committed schema is JSON");
     build_validator(&schema)
@@ -65,12 +65,13 @@
     }
 }
 
-/// The schema object that holds the keyword that failed.
+/// Returns the part of the schema that holds the violated keyword.
 fn find_subschema<'a>(schema: &'a Value, error: &ValidationError<'_>) -> Option<&'a Value> {
     let keyword = error.schema_path().as_str();
     schema.pointer(&keyword[..keyword.rfind('/')?])
 }
 
+/// Follows the `$ref` of a subschema, if it has one.
 fn resolve<'a>(schema: &'a Value, described: Option<&'a Value>) -> Option<&'a Value> {
     let reference = described?.get("$ref").and_then(Value::as_str);
     match reference {
@@ -89,6 +90,7 @@
     }
 }
 
+/// Appends the description from the schema to a suggestion.
 fn describe(subschema: Option<&Value>, action: &str) -> String {
     let description = subschema.and_then(|schema| schema["description"].as_str());
     match description {
@@ -101,18 +103,18 @@
     let known = subschema.and_then(|schema| schema["properties"].as_object());
     let keys = || known.into_iter().flat_map(|keys| keys.keys());
     let nearest = keys()
-        .map(|key| (edit_distance(unknown, key), key))
+        .map(|key| (compute_edit_distance(unknown, key), key))
         .min()
-        .filter(|(distance, key)| *distance <= NEAREST_KEY_DISTANCE.min(key.len() / 2));
+        .filter(|(distance, key)| *distance <= MAX_SUGGESTION_DISTANCE.min(key.len() / 2));
     if let Some((_, key)) = nearest {
         return format!("did you mean `{key}`?");
     }
     let list: Vec<&str> = keys().map(String::as_str).collect();
-    format!("remove it; known here: {}", list.join(", "))
+    format!("remove it; allowed keys: {}", list.join(", "))
 }
 
-/// Levenshtein distance.
-fn edit_distance(left: &str, right: &str) -> usize {
+/// Computes the Levenshtein distance in characters.
+fn compute_edit_distance(left: &str, right: &str) -> usize {
     let right: Vec<char> = right.chars().collect();
     let mut row: Vec<usize> = (0..=right.len()).collect();
     for (i, a) in left.chars().enumerate() {
@@ -129,12 +131,12 @@
 
 #[cfg(test)]
 mod tests {
-    use super::edit_distance;
+    use super::compute_edit_distance;
 
     #[test]
-    fn edit_distance_known_pairs() {
-        assert_eq!(edit_distance("", "abc"), 3);
-        assert_eq!(edit_distance("listen", "listne"), 2);
-        assert_eq!(edit_distance("slots", "slots"), 0);
+    fn compute_edit_distance_known_pairs() {
+        assert_eq!(compute_edit_distance("", "abc"), 3);
+        assert_eq!(compute_edit_distance("listen", "listne"), 2);
+        assert_eq!(compute_edit_distance("slots", "slots"), 0);
     }
 }
--- a/src/options/secret.rs
+++ b/src/options/secret.rs
@@ -1,16 +1,16 @@
-//! Text that must not reach a log.
+//! Secrets, such as tokens, that must not be logged.
 
 use arcstr::ArcStr;
 use serde::Deserialize;
 use std::fmt;
 
-/// A key or token. Its `Debug` form hides the content, so that printing the settings leaks nothing.
+/// A key or token. Its `Debug` output omits the content, so that logged settings don't leak it.
 #[derive(Clone, PartialEq, Eq, Deserialize)]
 #[serde(transparent)]
 pub struct Secret(ArcStr);
 
 impl Secret {
-    /// The content, for comparing and for keyed hashes only.
+    /// Returns the content. Use it only for comparisons, keyed hashes and the headers of requests.
     #[must_use]
     pub fn expose(&self) -> &str {
         &self.0
--- a/tests/integration/options.rs
+++ b/tests/integration/options.rs
@@ -193,12 +193,12 @@
         );
     let found = check_lines(&text);
     let expected = [
-        "$.services[1].name: conflict: `frontdesk` stands here for the second time",
+        "$.services[1].name: conflict: `frontdesk` is used more than once",
         "$.classes[0].services: conflict: no service of the class has a weight",
         "$.classes[0].services[0].name: conflict: no service is named `desk`",
         "$.classes[0].timeout_ms: conflict: the timeout of 399 ms",
-        "$.classes[1].name: conflict: `bookings` stands here",
-        "$.classes[1].path_prefix: conflict: `frontdesk.kneadwise.example/bookings/` stands",
+        "$.classes[1].name: conflict: `bookings` is used more than once",
+        "$.classes[1].path_prefix: conflict: `frontdesk.kneadwise.example/bookings/` is used",
         "$.classes[1].services[1].name: conflict: no service is named `frontdesk-canary`",
     ];
     assert_eq!(found.len(), expected.len(), "{found:#?}");
@@ -219,7 +219,7 @@
     assert!(
         found
             .iter()
-            .any(|line| line.contains("`services` stands twice"))
+            .any(|line| line.contains("duplicate key `services`"))
     );
 }
 
