--- a/src/coordination/local_upstream.rs
+++ b/src/coordination/local_upstream.rs
@@ -21,7 +21,7 @@
     pub slots: u16,
     /// Whether the upstream is shutting down and accepts no new requests.
     pub leaving: bool,
-    /// Remaining warmup time; zero if the upstream is warm.
+    /// Remaining warm-up time; zero if the upstream is warm.
     pub warmup_left: Duration,
     /// Sequence number; increases with each announcement of the same incarnation.
     pub sequence: u64,
@@ -124,7 +124,8 @@
             .any(|ended| ended.is_same_or_newer_than(reported))
     }
 
-    /// Ends the incarnation `instance` after a different one has responded in its place; its announcements are ignored from now on.
+    /// Ends the current incarnation if its instance name is `instance`, because a different one has responded in its place. Its
+    /// announcements are ignored from then on.
     pub fn end_incarnation(&mut self, instance: &str) {
         let is_current = self
             .current
@@ -149,7 +150,7 @@
     }
 }
 
-/// Whether the two have the same instance identity and one of them lacks the start time, so that they can't be told apart.
+/// Whether the two have the same instance identity and one of them lacks the start time, so that they can't be distinguished.
 fn may_be_same(known: &IncarnationId, reported: &IncarnationId) -> bool {
     known.instance == reported.instance
         && (known.started_ms.is_none() || reported.started_ms.is_none())
--- a/src/coordination/placement.rs
+++ b/src/coordination/placement.rs
@@ -18,8 +18,8 @@
 /// Added to the cost factor of 1 if all requests fail at an upstream and none at the other upstreams of the service.
 const FAILURE_COST: f64 = 8.0;
 
-/// Time for which a node has not responded, after which its cost rises, and further time by which the cost doubles. A node that
-/// has stopped responding is asked last even before it counts as unreachable.
+/// Time without a response after which the cost of a node starts to rise, and the further time after which the cost has doubled. A
+/// node that has stopped responding is asked last even before it counts as unreachable.
 const SILENCE_PENALTY: (Duration, Duration) =
     (Duration::from_millis(100), Duration::from_millis(100));
 
@@ -111,7 +111,7 @@
 }
 
 /// Lowest failure percentage among the nodes of a service. Failures that occur everywhere, for instance because calls of the
-/// upstreams to other services fail, don't speak against a single node.
+/// upstreams to other services fail, don't count against a single node.
 fn find_common_failures<'a>(nodes: impl Iterator<Item = &'a KnownNode>) -> u8 {
     let shares = nodes.filter_map(|node| node.load.map(|(load, _)| load.failed_percent));
     shares.min().unwrap_or(0)
--- a/src/coordination/retiring.rs
+++ b/src/coordination/retiring.rs
@@ -19,7 +19,8 @@
 /// Time without contact after which a node is suspected to be lost. Longer than the minutes for which regions may lose contact to
 /// each other, and than a restart of a VM takes.
 const MAX_SILENCE: Duration = Duration::from_mins(30);
-/// The same if no node of its availability zone is in contact: the zone is more likely disconnected than lost.
+/// Time without contact after which a node is suspected to be lost if no node of its availability zone is in contact: the zone is
+/// more likely disconnected than lost.
 const MAX_ZONE_SILENCE: Duration = Duration::from_hours(24);
 /// Interval between two probes of a node that nothing else is received from. At 870 nodes the probing node sends three small
 /// messages a second, less than 1 KB/s.
@@ -135,7 +136,7 @@
             return Vec::new();
         };
         let zone = &tracked.record.availability_zone;
-        let mut witnesses: Vec<(bool, SocketAddr)> = self
+        let mut confirming_nodes: Vec<(bool, SocketAddr)> = self
             .nodes
             .values()
             .filter(|tracked| tracked.record.address != suspect)
@@ -145,8 +146,11 @@
                 (is_in_other_zone, tracked.record.address)
             })
             .collect();
-        witnesses.sort_unstable();
-        witnesses.into_iter().map(|(_, address)| address).collect()
+        confirming_nodes.sort_unstable();
+        confirming_nodes
+            .into_iter()
+            .map(|(_, address)| address)
+            .collect()
     }
 }
 
@@ -168,8 +172,8 @@
     if answers.contains(&Some(true)) {
         return Reachability::Reachable;
     }
-    let denied = answers.iter().filter(|answer| **answer == Some(false));
-    if denied.count() >= REQUIRED_CONFIRMATIONS {
+    let unreachable_answers = answers.iter().filter(|answer| **answer == Some(false));
+    if unreachable_answers.count() >= REQUIRED_CONFIRMATIONS {
         Reachability::Unreachable
     } else {
         Reachability::Inconclusive
--- a/src/coordination/slot_queue.rs
+++ b/src/coordination/slot_queue.rs
@@ -161,7 +161,7 @@
         self.start_waiting(now)
     }
 
-    /// Resets the warmup for a new incarnation of the upstream.
+    /// Resets the warm-up for a new incarnation of the upstream.
     pub fn begin_incarnation(&mut self) {
         self.slow_start.begin_incarnation();
     }
@@ -171,7 +171,7 @@
         self.slow_start.mark_incarnation_inherited();
     }
 
-    /// Records the warmup state that the upstream reports.
+    /// Records the warm-up state that the upstream reports.
     pub fn record_warmup(&mut self, report: WarmupReport, now: Timestamp) {
         self.slow_start.record_report(report, now);
     }
@@ -212,7 +212,7 @@
         SlotDecision::Wait(waiting.number)
     }
 
-    /// Builds the queue entry of a request; `meets_target` tells whether it can finish within its latency target.
+    /// Builds the queue entry of a request; `meets_target` is true if it can finish within its latency target.
     fn build_entry(&self, request: &SlotRequest, meets_target: bool, now: Timestamp) -> Waiting {
         let duration = self.slowdown.estimate_baseline_duration(request.expected);
         let latest_on_time_start = now + request.target_left.saturating_sub(duration);
@@ -233,7 +233,7 @@
         can_start_another && self.slowdown.should_start_now(request.expected) && !is_redirected
     }
 
-    /// Whether the limit and the warmup of the upstream permit one more request now.
+    /// Whether the limit and the warm-up of the upstream permit one more request now.
     fn can_start_another(&self, now: Timestamp) -> bool {
         self.running.len() < self.limit && self.slow_start.wait(0, now).is_zero()
     }
@@ -310,7 +310,8 @@
         forecast_start(self.limit, running_ends, ahead, pause).max(warmup_wait) + duration
     }
 
-    /// The same for a request that follows all requests that can meet their target, including those that have yet to arrive.
+    /// Time in which a request submitted now would finish if all requests that can meet their target precede it, including those
+    /// that have yet to arrive.
     fn forecast_late_finish(&self, request: &SlotRequest, now: Timestamp) -> Duration {
         let rank = (request.priority, true);
         let late = self.waiting.iter().filter(|waiting| waiting.is_late(now));
--- a/src/coordination/slot_queue/late_start_share.rs
+++ b/src/coordination/slot_queue/late_start_share.rs
@@ -25,8 +25,8 @@
 }
 
 impl LateStartShare {
-    /// Records the start of a request from the queue; `has_late_waiting` tells whether late requests were waiting, `is_late`
-    /// whether the started one was late.
+    /// Records the start of a request from the queue. `has_late_waiting` is true if late requests were waiting, `is_late` if the
+    /// started one was late.
     pub fn record_queued_start(&mut self, has_late_waiting: bool, is_late: bool) {
         if has_late_waiting {
             self.update(if is_late { 1.0 } else { 0.0 });
--- a/src/coordination/slot_search.rs
+++ b/src/coordination/slot_search.rs
@@ -14,7 +14,8 @@
 pub const MAX_LOCAL_ZONE_NODES: usize = 4;
 /// Maximum number of nodes of other zones asked for an immediately free slot. Each attempt costs bytes between zones.
 pub const MAX_REMOTE_ZONE_NODES: usize = 2;
-/// The same if the local zone has no node to ask, because it is evacuated or the service has no upstream there.
+/// Maximum number of nodes of other zones asked if the local zone has no node to ask, because it is evacuated or the service has
+/// no upstream there.
 pub const MAX_REMOTE_ZONE_NODES_WITHOUT_LOCAL: usize = 4;
 /// Maximum number of nodes in whose queues one request waits.
 pub const MAX_WAITS: u32 = 2;
@@ -88,7 +89,7 @@
 
 impl SlotSearch {
     /// Starts a search among `candidates`, in the order in which they are asked. `target` is the latency target of the request, and
-    /// `kilobytes` the usual size of a request of its class together with the response.
+    /// `kilobytes` the average size of a request of its class together with the response.
     #[must_use]
     pub fn begin(candidates: Vec<PlacementCandidate>, target: Duration, kilobytes: f64) -> Self {
         let (local_zone, remote_zones): (Vec<_>, Vec<_>) = candidates
--- a/src/coordination/slow_start.rs
+++ b/src/coordination/slow_start.rs
@@ -1,6 +1,6 @@
 //! Limit on the requests that an upstream gets while it warms up.
 //!
-//! An upstream is cold until its warmup ends. A cold upstream tolerates a limited request rate and crashes well above it. All
+//! An upstream is cold until its warm-up ends. A cold upstream tolerates a limited request rate and crashes well above it. All
 //! requests reach it through its local node, so this node counts the starts of the last second. It also counts while the upstream
 //! is warm: the upstream may become cold at any time, and earlier starts within the same second count towards the limit.
 //!
@@ -50,14 +50,14 @@
     }
 }
 
-/// Warmup state reported by an upstream.
+/// Warm-up state reported by an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WarmupReport {
-    /// Remaining warmup time.
+    /// Remaining warm-up time.
     pub remaining: Duration,
-    /// Total warmup time; zero if unknown.
+    /// Total warm-up time; zero if unknown.
     pub total: Duration,
-    /// Maximum number of requests within any second of the warmup.
+    /// Maximum number of requests within any second of the warm-up.
     pub limit: usize,
 }
 
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Resets the warmup for a new incarnation of the upstream, which gets all its requests through this process. Starts at the
+    /// Resets the warm-up for a new incarnation of the upstream, which gets all its requests through this process. Starts at the
     /// previous incarnation still count: an upstream may restart under the same identity within the window.
     pub fn begin_incarnation(&mut self) {
         self.warmup_until = Timestamp::default();
@@ -99,14 +99,14 @@
         self.is_inherited = false;
     }
 
-    /// Records that the current incarnation of the upstream got requests from an earlier process of this node. A warmup that began
+    /// Records that the current incarnation of the upstream got requests from an earlier process of this node. A warm-up that began
     /// after that process ended doesn't rule this out: the upstream may have been cold before as well.
     pub fn mark_incarnation_inherited(&mut self) {
         self.counted_since = Some(self.started);
         self.is_inherited = true;
     }
 
-    /// Records a warmup report of the upstream. A report may be delayed by seconds, so it never shortens the known warmup.
+    /// Records a warm-up report of the upstream. A report may be delayed by seconds, so it never shortens the known warm-up.
     pub fn record_report(&mut self, report: WarmupReport, now: Timestamp) {
         if report.remaining.is_zero() {
             return;
@@ -115,7 +115,7 @@
         self.warmup_until = self.warmup_until.max(now + report.remaining);
         let elapsed = report.total.saturating_sub(report.remaining);
         let is_known = !self.is_inherited && !report.total.is_zero();
-        // Requests of a warmup that began while this process was running have all been counted.
+        // Requests of a warm-up that began while this process was running have all been counted.
         let began_in_this_process =
             |counted| is_known && elapsed <= now.since(counted) + MIN_RESTART_PAUSE;
         self.counted_since = self
--- a/src/coordination/store_reading.rs
+++ b/src/coordination/store_reading.rs
@@ -21,7 +21,7 @@
 /// Maximum wait of one long-poll read of the configuration by the second reader. The second reader compensates for the loss of the
 /// first. While the first one reads, the second also detects that a store that didn't answer is available again.
 const SECOND_READER_CONFIGURATION_WAIT: Duration = Duration::from_secs(12);
-/// Pause between two reads of the node records by the second reader. A record only tells which nodes can be asked, so learning of
+/// Pause between two reads of the node records by the second reader. A record only shows which nodes can be asked, so learning of
 /// one late, while no node has noticed the loss of the first reader, costs little; each read costs money.
 const SECOND_READER_RECORDS_PAUSE: Duration = Duration::from_secs(8);
 /// Pause between reads of all other nodes: minimum, time per known node, and maximum. Up to the maximum, the total cost of these
@@ -70,13 +70,16 @@
     per_node.saturating_mul(nodes).clamp(min, max)
 }
 
-/// Role of the node `own` in its zone; `others` are the other reachable nodes of the zone.
+/// Role of the node `own_address` in its zone; `others` are the other reachable nodes of the zone.
 #[must_use]
-pub fn find_reading_role(own: SocketAddr, others: impl Iterator<Item = SocketAddr>) -> ReadingRole {
+pub fn find_reading_role(
+    own_address: SocketAddr,
+    others: impl Iterator<Item = SocketAddr>,
+) -> ReadingRole {
     if Mechanism::StoreReaders.is_disabled() {
         return ReadingRole::First;
     }
-    let own_rank = rank(own);
+    let own_rank = rank(own_address);
     match others.filter(|other| rank(*other) < own_rank).count() {
         0 => ReadingRole::First,
         1 => ReadingRole::Second,
@@ -84,36 +87,40 @@
     }
 }
 
-/// Whether `own` is among the readers of its zone.
+/// Whether `own_address` is among the readers of its zone.
 #[must_use]
-pub fn is_reader(own: SocketAddr, others: impl Iterator<Item = SocketAddr>) -> bool {
-    find_reading_role(own, others) != ReadingRole::Other
+pub fn is_reader(own_address: SocketAddr, others: impl Iterator<Item = SocketAddr>) -> bool {
+    find_reading_role(own_address, others) != ReadingRole::Other
 }
 
-/// Whether `own` ranks before all `others`, the other reachable nodes of the mesh. The first node performs the tasks that one node
-/// of the mesh is enough for. Two nodes that know different nodes may both be first.
+/// Whether `own_address` ranks before all `others`, the other reachable nodes of the mesh. The first node performs the tasks that
+/// one node of the mesh is enough for. Two nodes that know different nodes may both be first.
 #[must_use]
-pub fn is_first(own: SocketAddr, mut others: impl Iterator<Item = SocketAddr>) -> bool {
-    let own_rank = rank(own);
+pub fn is_first(own_address: SocketAddr, mut others: impl Iterator<Item = SocketAddr>) -> bool {
+    let own_rank = rank(own_address);
     others.all(|other| own_rank < rank(other))
 }
 
-/// Returns the node of `others` that ranks directly before `own`, if there is one.
+/// Returns the node of `others` that ranks directly before `own_address`, if there is one.
 #[must_use]
 pub fn find_predecessor(
-    own: SocketAddr,
+    own_address: SocketAddr,
     others: impl Iterator<Item = SocketAddr>,
 ) -> Option<SocketAddr> {
-    let own_rank = rank(own);
+    let own_rank = rank(own_address);
     let before = others.filter(|other| rank(*other) < own_rank);
     before.max_by_key(|other| rank(*other))
 }
 
-/// Returns `others` without `own` as a ring: in the order of rank, which is the same at all nodes, starting after `own`.
+/// Returns `others` without `own_address` as a ring: in the order of rank, which is the same at all nodes, starting after
+/// `own_address`.
 #[must_use]
-pub fn order_ring(own: SocketAddr, others: impl Iterator<Item = SocketAddr>) -> Vec<SocketAddr> {
-    let own_rank = rank(own);
-    let mut ring: Vec<SocketAddr> = others.filter(|other| *other != own).collect();
+pub fn order_ring(
+    own_address: SocketAddr,
+    others: impl Iterator<Item = SocketAddr>,
+) -> Vec<SocketAddr> {
+    let own_rank = rank(own_address);
+    let mut ring: Vec<SocketAddr> = others.filter(|other| *other != own_address).collect();
     ring.sort_by_cached_key(|other| {
         let rank = rank(*other);
         (rank < own_rank, rank)
--- a/src/coordination/table_sources.rs
+++ b/src/coordination/table_sources.rs
@@ -65,16 +65,16 @@
         self.offers.push(offer);
     }
 
-    /// Records the version reported with a request or its response. Returns whether it is newer than `own`, the version in force
-    /// here.
+    /// Records the version reported with a request or its response. Returns whether it is newer than `own_version`, the version
+    /// in force here.
     pub fn record_report(
         &mut self,
         from: SocketAddr,
         version: ConfigurationVersion,
-        own: ConfigurationVersion,
+        own_version: ConfigurationVersion,
         now: Timestamp,
     ) -> bool {
-        if version <= own {
+        if version <= own_version {
             return false;
         }
         if version > self.highest_reported {
@@ -90,27 +90,34 @@
         true
     }
 
-    /// Returns the next step while version `own` is in force here.
-    pub fn plan_next_step(&mut self, own: ConfigurationVersion, now: Timestamp) -> FetchStep {
-        if self.highest_reported <= own {
+    /// Returns the next step while version `own_version` is in force here.
+    pub fn plan_next_step(
+        &mut self,
+        own_version: ConfigurationVersion,
+        now: Timestamp,
+    ) -> FetchStep {
+        if self.highest_reported <= own_version {
             self.reports.clear();
             self.reported_since = None;
             return FetchStep::Done;
         }
-        let next = self.offers.iter().position(|offer| offer.version > own);
+        let next = self
+            .offers
+            .iter()
+            .position(|offer| offer.version > own_version);
         if let Some(next) = next {
             let offer = self.offers.remove(next);
             let (from, version) = (offer.from, offer.version);
             self.fetched_offers.push(offer);
             return FetchStep::FetchOffered(from, version);
         }
-        self.reports.retain(|(_, version)| *version > own);
+        self.reports.retain(|(_, version)| *version > own_version);
         let Some((from, version)) = self.reports.back().copied() else {
             self.reported_since = None;
             return FetchStep::Done;
         };
         // Before a node has fetched its first table, no node record contains it, so no node offers it anything.
-        let has_no_table = own == ConfigurationVersion::default();
+        let has_no_table = own_version == ConfigurationVersion::default();
         let due = self.reported_since.map(|since| since + OFFER_WAIT);
         if let Some(due) = due.filter(|due| *due > now && !has_no_table) {
             return FetchStep::Wait(due);
@@ -119,11 +126,14 @@
         FetchStep::FetchReported(from, version)
     }
 
-    /// Removes and returns the offers to forward now: those not newer than `own`, the version in force here, and those that a
-    /// fetch has been started for, whether or not it succeeded: a node whose fetch fails must not keep the version from the nodes
-    /// after it.
-    pub fn take_forwardable_offers(&mut self, own: ConfigurationVersion) -> Vec<TableOffer> {
-        let is_not_newer = |offer: &mut TableOffer| offer.version <= own;
+    /// Removes and returns the offers to forward now: those not newer than `own_version`, the version in force here, and those that
+    /// a fetch has been started for, whether or not it succeeded: a node whose fetch fails must not keep the version from the
+    /// nodes after it.
+    pub fn take_forwardable_offers(
+        &mut self,
+        own_version: ConfigurationVersion,
+    ) -> Vec<TableOffer> {
+        let is_not_newer = |offer: &mut TableOffer| offer.version <= own_version;
         let mut forwardable: Vec<TableOffer> = self.offers.extract_if(.., is_not_newer).collect();
         forwardable.append(&mut self.fetched_offers);
         forwardable
--- a/src/coordination/version_lag.rs
+++ b/src/coordination/version_lag.rs
@@ -20,21 +20,21 @@
 }
 
 impl VersionLag {
-    /// Records that another node reported `version` while `own` was in force here.
+    /// Records that another node reported `version` while `own_version` was in force here.
     pub fn record_report(
         &mut self,
         version: ConfigurationVersion,
-        own: ConfigurationVersion,
+        own_version: ConfigurationVersion,
         now: Timestamp,
     ) {
-        if version <= own {
+        if version <= own_version {
             return;
         }
         if !self.is_reported(now) {
             self.first_reports.clear();
         }
         self.last_report = now;
-        self.first_reports.retain(|(known, _)| *known > own);
+        self.first_reports.retain(|(known, _)| *known > own_version);
         let newest = self.first_reports.back();
         let is_newer = newest.is_none_or(|(known, _)| *known < version);
         if is_newer && self.first_reports.len() < MAX_VERSIONS {
@@ -42,11 +42,16 @@
         }
     }
 
-    /// Whether a version newer than `own` was first reported more than `limit` ago and is still reported.
+    /// Whether a version newer than `own_version` was first reported more than `limit` ago and is still reported.
     #[must_use]
-    pub fn is_overdue(&self, own: ConfigurationVersion, now: Timestamp, limit: Duration) -> bool {
+    pub fn is_overdue(
+        &self,
+        own_version: ConfigurationVersion,
+        now: Timestamp,
+        limit: Duration,
+    ) -> bool {
         let mut newer = self.first_reports.iter();
-        let oldest = newer.find(|(version, _)| *version > own);
+        let oldest = newer.find(|(version, _)| *version > own_version);
         self.is_reported(now) && oldest.is_some_and(|(_, since)| now.since(*since) > limit)
     }
 
--- a/src/coordination/vm_slowdown.rs
+++ b/src/coordination/vm_slowdown.rs
@@ -1,9 +1,10 @@
-//! Estimates how much slower than usual an upstream's VM works, from the slowdown that the upstream reports with its responses.
+//! Estimates how much slower than at full speed an upstream's VM works, from the slowdown that the upstream reports with its
+//! responses.
 //!
 //! A slowdown has two possible causes that look the same in a single report. Other VMs on the same host may take the processor for
 //! a fraction of a second; a request that waits until this is over finishes sooner. Or the upstream is slow for a long time,
-//! because it has just started or its VM is overloaded; then waiting gains nothing and the upstream idles. The two are told apart
-//! by their duration.
+//! because it has just started or its VM is overloaded; then waiting gains nothing and the upstream idles. Only the duration
+//! distinguishes the two.
 //!
 //! Load pattern: after a power loss all VMs restart at once, each upstream works at half its speed for some seconds, and clients
 //! that were refused in one second retry in the next.
@@ -29,9 +30,9 @@
 /// Current slowdown of the VM that the upstream runs on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct VmSlowdown {
-    /// Duration of work that starts now, in percent of its best-case duration.
+    /// Duration of work that starts now, in percent of its duration at full speed of the VM.
     pub percent: u16,
-    /// The same outside of slow periods, from the reports of the last seconds.
+    /// Baseline of `percent`: its value outside of slow periods, from the reports of the last seconds.
     pub baseline_percent: u16,
     /// Estimated time until a slow period ends.
     pub remaining: Duration,
@@ -51,13 +52,13 @@
         exceeds_baseline(self.percent, self.baseline_percent)
     }
 
-    /// Duration of work that starts now; `expected` is its best-case duration.
+    /// Duration of work that starts now; `expected` is its duration at full speed.
     #[must_use]
     pub fn estimate_duration(self, expected: Duration) -> Duration {
         expected * u32::from(self.percent) / 100
     }
 
-    /// Duration of work that starts outside of slow periods; `expected` is its best-case duration.
+    /// Duration of work that starts outside of slow periods; `expected` is its duration at full speed.
     #[must_use]
     pub fn estimate_baseline_duration(self, expected: Duration) -> Duration {
         expected * u32::from(self.baseline_percent) / 100
@@ -115,7 +116,7 @@
         self.current_period = None;
     }
 
-    /// Records a reported slowdown, in percent of the best-case duration, and returns the updated estimate.
+    /// Records a reported slowdown, in percent of the duration at full speed, and returns the updated estimate.
     pub fn record(&mut self, percent: u16, now: Timestamp) -> VmSlowdown {
         let baseline_percent = self.baseline_percent.unwrap_or(percent);
         if exceeds_baseline(percent, baseline_percent) {
--- a/src/state/ablation.rs
+++ b/src/state/ablation.rs
@@ -27,7 +27,7 @@
     Priorities,
     /// Asks nodes of other availability zones for a slot.
     CrossZoneRequests,
-    /// Prefers nodes of the own availability zone while they answer soon enough.
+    /// Prefers nodes of the local availability zone while they answer soon enough.
     LocalZonePreference,
     /// Reuses the completion time that a node reported with a refusal for a while, instead of asking the node again.
     ReportedRefusals,
--- a/src/state/answered_requests.rs
+++ b/src/state/answered_requests.rs
@@ -7,7 +7,7 @@
 use crate::state::{incarnation_id::IncarnationId, request_fingerprint::RequestFingerprint};
 use std::collections::{BTreeSet, VecDeque};
 
-/// Number of requests that are kept; the latest ones are.
+/// Number of the latest requests that are kept.
 const MAX_REQUESTS: usize = 1_024;
 
 /// The latest requests that one incarnation has answered.
--- a/src/state/class_counts.rs
+++ b/src/state/class_counts.rs
@@ -10,7 +10,7 @@
     pub requests: u64,
     /// Of these, requests answered by an upstream.
     pub answered: u64,
-    /// Of the answered ones, requests answered within the target time of the class.
+    /// Of the answered ones, requests answered within the latency target of the class.
     pub on_target: u64,
     /// Requests refused without having run at an upstream.
     pub refused: u64,
@@ -21,7 +21,7 @@
 }
 
 impl ClassCounts {
-    /// Counts a request that was answered after `took`; `target` is the target time of its class.
+    /// Counts a request that was answered after `took`; `target` is the latency target of its class.
     pub fn count_answer(&mut self, took: Duration, target: Duration) {
         self.requests += 1;
         self.answered += 1;
--- a/src/state/configuration.rs
+++ b/src/state/configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration that operators publish: services, and classes of work with their target times.
+//! The configuration that operators publish: services, and classes of work with their latency targets.
 
 use crate::state::{
     names::{ClassName, ServiceName},
@@ -38,7 +38,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceEntry {
-    /// Unique in the configuration.
+    /// Name of the service, unique in the configuration.
     pub name: ServiceName,
     /// Path on which upstreams of the service report their health and load.
     #[serde(default = "default_health_path")]
@@ -60,17 +60,17 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClassEntry {
-    /// Unique in the configuration.
+    /// Name of the class, unique in the configuration.
     pub name: ClassName,
     /// Value of the Host header, without port.
     pub host: ArcStr,
     /// Prefix of the path; begins and ends with a slash. Of several matching prefixes the longest applies.
     pub path_prefix: ArcStr,
-    /// Services that its requests are sent to; never empty.
+    /// Services that requests of the class are sent to; never empty.
     pub services: Vec<ServiceShare>,
     /// Whether a request may run twice without harm.
     pub idempotent: bool,
-    /// Target time, in milliseconds: 99 of 100 requests are to be answered within it.
+    /// Latency target, in milliseconds: 99 of 100 requests are to be answered within it.
     pub target_ms: u32,
     /// Longest time that a client waits for an answer, in milliseconds.
     pub timeout_ms: u32,
--- a/src/state/known_node.rs
+++ b/src/state/known_node.rs
@@ -59,7 +59,7 @@
     pub queued: u16,
     /// Number of requests that the node lets run concurrently.
     pub limit: u16,
-    /// How long work takes at present, in percent of the usual time.
+    /// How long work takes at present, in percent of the time at full speed of the VM.
     pub slowdown_percent: u16,
     /// Share of recent requests that failed at the upstream, in percent.
     pub failed_percent: u8,
--- a/src/state/latency_histogram.rs
+++ b/src/state/latency_histogram.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 /// Upper bounds of the buckets in milliseconds, about 4 for each factor of 10 and closer together between 80 ms and 1 s, where
-/// the target times lie.
+/// the latency targets lie.
 pub const UPPER_BOUNDS_MS: [u64; 12] = [5, 10, 20, 50, 80, 120, 200, 300, 500, 1_000, 2_000, 5_000];
 
 /// A histogram. Each count is cumulative: it includes all latencies up to the upper bound of its bucket.
--- a/src/state/quarantine.rs
+++ b/src/state/quarantine.rs
@@ -126,8 +126,8 @@
     }
 
     fn release_earliest(&mut self) {
-        let oldest = self.requests.iter().min_by_key(|(_, known)| known.until);
-        if let Some(fingerprint) = oldest.map(|(fingerprint, _)| *fingerprint) {
+        let earliest = self.requests.iter().min_by_key(|(_, known)| known.until);
+        if let Some(fingerprint) = earliest.map(|(fingerprint, _)| *fingerprint) {
             self.requests.remove(&fingerprint);
         }
     }
--- a/src/state/routing_table.rs
+++ b/src/state/routing_table.rs
@@ -35,7 +35,7 @@
     pub idempotent: bool,
     /// Longest time that a client waits for an answer.
     pub timeout: Duration,
-    /// Target time: answers within it have their full value.
+    /// Latency target: time within which a request is to be answered.
     pub target: Duration,
     /// Priority among the classes of a service; 0 is served first.
     pub priority: u8,
--- a/src/state/service_times.rs
+++ b/src/state/service_times.rs
@@ -1,4 +1,4 @@
-//! How long requests of each class of work take at one upstream while its VM runs at its usual speed.
+//! How long requests of each class of work take at one upstream while its VM runs at full speed.
 
 use crate::state::names::ClassName;
 use std::{collections::HashMap, time::Duration};
@@ -20,7 +20,7 @@
 }
 
 impl ServiceTimes {
-    /// Expected time that a request of a class takes at the usual speed of the VM.
+    /// Expected time that a request of a class takes at full speed of the VM.
     #[must_use]
     pub fn expected_time(&self, class: &ClassName) -> Duration {
         self.classes
@@ -30,9 +30,10 @@
             })
     }
 
-    /// Records that a request took `took`. It was started while requests took `slowdown_percent` of their usual time.
+    /// Records that a request took `took`. It was started while requests took `slowdown_percent` percent of their time at full
+    /// speed.
     pub fn observe(&mut self, class: &ClassName, took: Duration, slowdown_percent: u16) {
-        let usual = took.as_secs_f64() * 100.0 / f64::from(slowdown_percent.max(1));
+        let full_speed_seconds = took.as_secs_f64() * 100.0 / f64::from(slowdown_percent.max(1));
         let entry = self
             .classes
             .entry(class.clone())
@@ -42,7 +43,7 @@
         } else {
             WEIGHT
         };
-        entry.0 += (usual - entry.0) * weight;
+        entry.0 += (full_speed_seconds - entry.0) * weight;
         entry.1 = entry.1.saturating_add(1);
     }
 }
--- a/tests/integration/crash_counting.rs
+++ b/tests/integration/crash_counting.rs
@@ -146,7 +146,7 @@
 /// Failure: a node learns that an upstream answered a request and lifts its quarantine. Right after it, an older report of the
 /// quarantine arrives on another path, and the node refuses the request for 15 minutes while all other nodes serve it.
 #[test]
-fn late_word_does_not_undo_a_lift() {
+fn insert_reported_after_lift() {
     let mut quarantine = Quarantine::default();
     assert_eq!(quarantine.lift(fingerprint(1), Timestamp(0)), None);
     let soon = Timestamp(0) + Duration::from_secs(2);
--- a/tests/integration/offer_rounds.rs
+++ b/tests/integration/offer_rounds.rs
@@ -128,8 +128,8 @@
             if all.len() < 2 {
                 return;
             }
-            let next = all.iter().map(|own| {
-                let ring = order_ring(*own, all.iter().copied());
+            let next = all.iter().map(|own_address| {
+                let ring = order_ring(*own_address, all.iter().copied());
                 assert_eq!(ring.len(), all.len() - 1);
                 ring[0]
             });
--- a/tests/integration/proxy_decisions.rs
+++ b/tests/integration/proxy_decisions.rs
@@ -60,7 +60,7 @@
     }
 }
 
-fn view(last: u8, zone: &str) -> KnownNode {
+fn known_node(last: u8, zone: &str) -> KnownNode {
     KnownNode::new(StoredRecord {
         revision: 1,
         record: record(last, zone, "i"),
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn find_longest_prefix() {
+fn find_route_longest_prefix() {
     let index = RouteIndex::new(table(1));
     let class = |host: &str, path: &str| {
         index
@@ -154,17 +154,17 @@
 }
 
 #[test]
-fn list_newer_than_known_version() {
+fn build_update_since_known_version() {
     let mut directory = Directory::default();
     directory.apply_table(table(5));
     directory.apply_own_record(record(1, "a", "i"));
-    let mut newer = |version, has_records| {
+    let mut build_update = |version, has_records| {
         directory.build_update_since(ConfigurationVersion(version), has_records)
     };
-    assert_eq!(newer(5, false).change, None);
-    assert!(newer(4, false).change.is_some() && newer(4, false).nodes.is_empty());
-    assert_eq!(newer(0, false).nodes.len(), 1);
-    assert!(newer(0, true).change.is_some() && newer(0, true).nodes.is_empty());
+    assert_eq!(build_update(5, false).change, None);
+    assert!(build_update(4, false).change.is_some() && build_update(4, false).nodes.is_empty());
+    assert_eq!(build_update(0, false).nodes.len(), 1);
+    assert!(build_update(0, true).change.is_some() && build_update(0, true).nodes.is_empty());
 }
 
 #[test]
@@ -197,7 +197,7 @@
 }
 
 #[test]
-fn announce_stale_sequence() {
+fn apply_announcement_stale_sequence() {
     let mut upstream = LocalUpstream::default();
     upstream.apply_announcement(announcement("i-1", 5, false));
     let effect = upstream.apply_announcement(announcement("i-1", 4, true));
@@ -208,7 +208,7 @@
 /// Guards against a new upstream that gets no requests. The last announcement of its predecessor arrives after its own first one and
 /// must not make the predecessor the current incarnation.
 #[test]
-fn announce_by_former_incarnation() {
+fn apply_announcement_by_former_incarnation() {
     let mut upstream = LocalUpstream::default();
     upstream.apply_announcement(announcement("i-1", 5, false));
     upstream.apply_announcement(announcement("i-2", 1, false));
@@ -232,7 +232,7 @@
 /// Guards against an upstream that gets no requests after a restart. It drains and starts again under the same instance name, and its
 /// sequence numbers begin again; its announcements must not count as late ones of the former incarnation.
 #[test]
-fn announce_after_restart_same_instance() {
+fn apply_announcement_after_restart_same_instance() {
     let mut upstream = LocalUpstream::default();
     upstream.apply_announcement(announcement_of_incarnation(1_000, 7, true));
     assert!(upstream.serving().is_none());
@@ -249,7 +249,7 @@
 /// Guards against late announcements of a former incarnation that replace the state of the current one. The upstream has restarted
 /// under the same instance name; the announcement that arrived last must not win.
 #[test]
-fn announce_late_from_former_incarnation() {
+fn apply_announcement_late_from_former_incarnation() {
     let mut upstream = LocalUpstream::default();
     upstream.apply_announcement(announcement_of_incarnation(1_000, 7, false));
     upstream.apply_announcement(announcement_of_incarnation(2_000, 1, false));
@@ -267,7 +267,7 @@
 }
 
 #[test]
-fn depart_before_first_announcement() {
+fn record_departure_before_first_announcement() {
     let mut upstream = LocalUpstream::default();
     assert!(upstream.record_departure(&incarnation("i-1", None)));
     assert!(!upstream.record_departure(&incarnation("i-1", None)));
@@ -276,9 +276,9 @@
 }
 
 #[test]
-fn order_own_zone_first() {
-    let views = [view(1, "b"), view(2, "a"), view(3, "a")];
-    let mut busy = views.clone();
+fn order_candidates_local_zone_first() {
+    let nodes = [known_node(1, "b"), known_node(2, "a"), known_node(3, "a")];
+    let mut busy = nodes.clone();
     busy[1].load = Some((
         NodeLoad {
             running: 4,
@@ -300,13 +300,13 @@
 }
 
 #[test]
-fn order_excludes_unreachable() {
-    let mut unreachable = view(1, "a");
+fn order_candidates_without_unreachable() {
+    let mut unreachable = known_node(1, "a");
     unreachable.record_unreachable(Timestamp(0));
-    let views = [unreachable, view(2, "a")];
+    let nodes = [unreachable, known_node(2, "a")];
     let order = |now| {
         order_candidates(
-            views.iter(),
+            nodes.iter(),
             (&"desk".into(), &"look".into()),
             &"a".into(),
             || 0.5,
@@ -321,16 +321,16 @@
 /// Guards against late requests while a VM hangs. The VM accepts connections and sends nothing, so no connection is refused or broken;
 /// its silence alone must put the node last.
 #[test]
-fn order_silent_node_last() {
-    let mut silent = view(1, "a");
+fn order_candidates_silent_node_last() {
+    let mut silent = known_node(1, "a");
     silent.record_sent_request(Timestamp(0));
-    let mut busy = view(2, "a");
+    let mut busy = known_node(2, "a");
     busy.record_sent_request(Timestamp(0));
     busy.record_sent_request(Timestamp(0));
     let first = |silent: &KnownNode, busy: &KnownNode, now| {
-        let views = [silent.clone(), busy.clone()];
+        let nodes = [silent.clone(), busy.clone()];
         let order = order_candidates(
-            views.iter(),
+            nodes.iter(),
             (&"desk".into(), &"look".into()),
             &"a".into(),
             || 0.5,
@@ -346,10 +346,11 @@
 }
 
 #[test]
-fn readers_two_per_zone() {
+fn is_reader_two_per_zone() {
     let all: Vec<SocketAddr> = (1..=20).map(address).collect();
-    let reads = |own: &SocketAddr| is_reader(*own, all.iter().copied().filter(|o| o != own));
-    assert_eq!(all.iter().filter(|own| reads(own)).count(), 2);
+    let reads =
+        |node: &SocketAddr| is_reader(*node, all.iter().copied().filter(|other| other != node));
+    assert_eq!(all.iter().filter(|node| reads(node)).count(), 2);
     assert!(is_reader(address(1), std::iter::empty()));
 }
 
@@ -388,7 +389,7 @@
 /// Guards against a missing log line about a failure. Many ordinary requests end, then one fails within the same second; the
 /// ordinary ones must not use up the budget of lines.
 #[test]
-fn lines_important_ones_last_longer() {
+fn admit_important_lines_after_ordinary() {
     let lines = LineWriter::new("n1".into(), KEEP_ALL, Timestamp(1));
     let now = Timestamp(1);
     let ordinary = (0..1_000)
@@ -415,14 +416,14 @@
 /// Guards against requests of which only one node logs lines. Two nodes sample independently of each other, so the sample must be
 /// drawn by request and not by line.
 #[test]
-fn lines_sample_same_requests_at_all_nodes() {
-    let rules = LogSettings {
+fn write_samples_same_requests_at_all_nodes() {
+    let settings = LogSettings {
         ordinary_one_in: 4,
         kept_lines: 1_000,
     };
     let now = Timestamp(1);
     let list_requests = |node: &str| {
-        let lines = LineWriter::new(node.into(), rules, now);
+        let lines = LineWriter::new(node.into(), settings, now);
         for number in 0..40 {
             lines.write(&retry_suppressed(&format!("r{number}")), now);
         }
@@ -440,7 +441,7 @@
 }
 
 #[test]
-fn lines_dropped_are_reported() {
+fn write_reports_dropped_lines() {
     let lines = LineWriter::new("n1".into(), KEEP_ALL, Timestamp(1));
     let event = ProxyEvent::StateRejected {
         error: "e".to_owned(),
@@ -463,22 +464,22 @@
 #[test]
 fn rate_limit_keeps_to_its_rate() {
     let mut limit = RateLimit::new(60.0, 60.0);
-    let asked = (0..100_000_u64).map(|step| Timestamp(step * 100));
-    let granted = asked.filter(|now| limit.try_acquire(*now)).count();
+    let attempts = (0..100_000_u64).map(|step| Timestamp(step * 100));
+    let granted = attempts.filter(|now| limit.try_acquire(*now)).count();
     // Ten seconds of the rate, and one burst.
     assert!((659..=661).contains(&granted), "{granted}");
 }
 
 #[test]
 fn reported_finish_expires() {
-    let mut view = view(1, "a");
+    let mut known_node = known_node(1, "a");
     let class = "look".into();
-    view.record_refusal(&class, Duration::from_millis(200), Timestamp(0));
+    known_node.record_refusal(&class, Duration::from_millis(200), Timestamp(0));
     let later = |millis: u64| Timestamp(millis * 1_000);
     assert_eq!(
-        view.reported_finish(&class, later(40)),
+        known_node.reported_finish(&class, later(40)),
         Some(Duration::from_millis(160))
     );
-    assert_eq!(view.reported_finish(&class, later(60)), None);
-    assert_eq!(view.reported_finish(&"book".into(), later(0)), None);
+    assert_eq!(known_node.reported_finish(&class, later(60)), None);
+    assert_eq!(known_node.reported_finish(&"book".into(), later(0)), None);
 }
--- a/tests/integration/slow_start.rs
+++ b/tests/integration/slow_start.rs
@@ -14,9 +14,9 @@
     Timestamp(millis * 1_000)
 }
 
-fn report(left: Duration) -> WarmupReport {
+fn report(remaining: Duration) -> WarmupReport {
     WarmupReport {
-        remaining: left,
+        remaining,
         total: WARMUP,
         limit: LIMIT,
     }
@@ -120,7 +120,7 @@
     assert_eq!(slow_start.wait(9, at(5_300)), Duration::ZERO);
 }
 
-/// For any sequence of arrivals, node restarts, upstream restarts and warmups: an upstream that has reported that it is cold gets
+/// For any sequence of arrivals, node restarts, upstream restarts and warm-ups: an upstream that has reported that it is cold gets
 /// no more than its limit within any second.
 #[test]
 fn wait_keeps_limit_over_random_events() {
@@ -166,7 +166,7 @@
     }
 }
 
-/// Asserts that no second of the warmup has more starts than the limit.
+/// Asserts that no second of the warm-up has more starts than the limit.
 fn assert_limit(starts: &[Timestamp], cold_since: Timestamp) {
     let warmup = cold_since..cold_since + WARMUP;
     let during_warmup = starts.iter().filter(|start| warmup.contains(start));
--- a/tests/integration/table_sources.rs
+++ b/tests/integration/table_sources.rs
@@ -7,7 +7,7 @@
 };
 use std::{collections::HashMap, net::SocketAddr, time::Duration};
 
-const OWN: ConfigurationVersion = ConfigurationVersion(5);
+const OWN_VERSION: ConfigurationVersion = ConfigurationVersion(5);
 const NEWER: ConfigurationVersion = ConfigurationVersion(6);
 const NEWEST: ConfigurationVersion = ConfigurationVersion(7);
 const START: Timestamp = Timestamp(1_000_000);
@@ -33,52 +33,58 @@
 #[test]
 fn plan_next_step_without_reports() {
     let mut sources = TableSources::default();
-    assert_eq!(sources.plan_next_step(OWN, START), FetchStep::Done);
-    assert!(!sources.record_report(node(1), OWN, OWN, START));
-    assert_eq!(sources.plan_next_step(OWN, START), FetchStep::Done);
+    assert_eq!(sources.plan_next_step(OWN_VERSION, START), FetchStep::Done);
+    assert!(!sources.record_report(node(1), OWN_VERSION, OWN_VERSION, START));
+    assert_eq!(sources.plan_next_step(OWN_VERSION, START), FetchStep::Done);
     assert_eq!(sources.highest_reported(), ConfigurationVersion(0));
 }
 
 #[test]
 fn plan_next_step_offers_before_reports() {
     let mut sources = TableSources::default();
-    assert!(sources.record_report(node(1), NEWER, OWN, START));
+    assert!(sources.record_report(node(1), NEWER, OWN_VERSION, START));
     sources.record_offer(offer(2, NEWER, &[]));
     sources.record_offer(offer(3, NEWER, &[]));
     let late = START + OFFER_WAIT;
     assert_eq!(
-        sources.plan_next_step(OWN, late),
+        sources.plan_next_step(OWN_VERSION, late),
         FetchStep::FetchOffered(node(2), NEWER)
     );
     assert_eq!(
-        sources.plan_next_step(OWN, late),
+        sources.plan_next_step(OWN_VERSION, late),
         FetchStep::FetchOffered(node(3), NEWER)
     );
     assert_eq!(
-        sources.plan_next_step(OWN, late),
+        sources.plan_next_step(OWN_VERSION, late),
         FetchStep::FetchReported(node(1), NEWER)
     );
-    assert_eq!(sources.plan_next_step(OWN, late), FetchStep::Done);
+    assert_eq!(sources.plan_next_step(OWN_VERSION, late), FetchStep::Done);
 }
 
 #[test]
 fn plan_next_step_report_waits_for_offer() {
     let mut sources = TableSources::default();
-    sources.record_report(node(1), NEWER, OWN, START);
+    sources.record_report(node(1), NEWER, OWN_VERSION, START);
     let due = START + OFFER_WAIT;
-    assert_eq!(sources.plan_next_step(OWN, START), FetchStep::Wait(due));
-    sources.record_report(node(2), NEWER, OWN, START + millis(200));
+    assert_eq!(
+        sources.plan_next_step(OWN_VERSION, START),
+        FetchStep::Wait(due)
+    );
+    sources.record_report(node(2), NEWER, OWN_VERSION, START + millis(200));
     let before = START + millis(299);
-    assert_eq!(sources.plan_next_step(OWN, before), FetchStep::Wait(due));
     assert_eq!(
-        sources.plan_next_step(OWN, due),
+        sources.plan_next_step(OWN_VERSION, before),
+        FetchStep::Wait(due)
+    );
+    assert_eq!(
+        sources.plan_next_step(OWN_VERSION, due),
         FetchStep::FetchReported(node(2), NEWER)
     );
     assert_eq!(
-        sources.plan_next_step(OWN, due),
+        sources.plan_next_step(OWN_VERSION, due),
         FetchStep::FetchReported(node(1), NEWER)
     );
-    assert_eq!(sources.plan_next_step(OWN, due), FetchStep::Done);
+    assert_eq!(sources.plan_next_step(OWN_VERSION, due), FetchStep::Done);
 }
 
 /// Failure: a node that starts waits for an offer before its first fetch and serves nothing meanwhile, though no other node knows
@@ -86,10 +92,10 @@
 #[test]
 fn plan_next_step_without_own_table() {
     let mut sources = TableSources::default();
-    let own = ConfigurationVersion::default();
-    sources.record_report(node(1), NEWER, own, START);
+    let own_version = ConfigurationVersion::default();
+    sources.record_report(node(1), NEWER, own_version, START);
     assert_eq!(
-        sources.plan_next_step(own, START),
+        sources.plan_next_step(own_version, START),
         FetchStep::FetchReported(node(1), NEWER)
     );
 }
@@ -97,15 +103,15 @@
 #[test]
 fn plan_next_step_offer_during_wait() {
     let mut sources = TableSources::default();
-    sources.record_report(node(1), NEWER, OWN, START);
+    sources.record_report(node(1), NEWER, OWN_VERSION, START);
     let now = START + millis(20);
     assert!(matches!(
-        sources.plan_next_step(OWN, now),
+        sources.plan_next_step(OWN_VERSION, now),
         FetchStep::Wait(_)
     ));
     sources.record_offer(offer(2, NEWER, &[]));
     assert_eq!(
-        sources.plan_next_step(OWN, now),
+        sources.plan_next_step(OWN_VERSION, now),
         FetchStep::FetchOffered(node(2), NEWER)
     );
 }
@@ -114,20 +120,20 @@
 #[test]
 fn plan_next_step_offer_during_fetch() {
     let mut sources = TableSources::default();
-    sources.record_report(node(1), NEWER, OWN, START);
-    sources.record_report(node(2), NEWER, OWN, START);
+    sources.record_report(node(1), NEWER, OWN_VERSION, START);
+    sources.record_report(node(2), NEWER, OWN_VERSION, START);
     let late = START + OFFER_WAIT;
     assert_eq!(
-        sources.plan_next_step(OWN, late),
+        sources.plan_next_step(OWN_VERSION, late),
         FetchStep::FetchReported(node(2), NEWER)
     );
     sources.record_offer(offer(3, NEWER, &[]));
     assert_eq!(
-        sources.plan_next_step(OWN, late),
+        sources.plan_next_step(OWN_VERSION, late),
         FetchStep::FetchOffered(node(3), NEWER)
     );
     assert_eq!(
-        sources.plan_next_step(OWN, late),
+        sources.plan_next_step(OWN_VERSION, late),
         FetchStep::FetchReported(node(1), NEWER)
     );
 }
@@ -136,7 +142,7 @@
 #[test]
 fn plan_next_step_wait_restarts_with_version() {
     let mut sources = TableSources::default();
-    sources.record_report(node(1), NEWER, OWN, START);
+    sources.record_report(node(1), NEWER, OWN_VERSION, START);
     assert_eq!(sources.plan_next_step(NEWER, START), FetchStep::Done);
     let later = START + millis(250);
     sources.record_report(node(1), NEWEST, NEWER, later);
@@ -150,9 +156,9 @@
     let (first, second) = (offer(1, NEWER, &[3, 4]), offer(2, NEWER, &[5]));
     sources.record_offer(first.clone());
     sources.record_offer(second.clone());
-    assert!(sources.take_forwardable_offers(OWN).is_empty());
+    assert!(sources.take_forwardable_offers(OWN_VERSION).is_empty());
     assert_eq!(
-        sources.plan_next_step(OWN, START),
+        sources.plan_next_step(OWN_VERSION, START),
         FetchStep::FetchOffered(node(1), NEWER)
     );
     let mut forwardable = sources.take_forwardable_offers(NEWER);
@@ -169,27 +175,27 @@
     let (failed, newest) = (offer(1, NEWER, &[3]), offer(2, NEWEST, &[4]));
     sources.record_offer(failed.clone());
     sources.record_offer(newest.clone());
-    sources.record_report(node(5), NEWEST, OWN, START);
-    assert!(sources.take_forwardable_offers(OWN).is_empty());
+    sources.record_report(node(5), NEWEST, OWN_VERSION, START);
+    assert!(sources.take_forwardable_offers(OWN_VERSION).is_empty());
     assert!(matches!(
-        sources.plan_next_step(OWN, START),
+        sources.plan_next_step(OWN_VERSION, START),
         FetchStep::FetchOffered(_, NEWER)
     ));
-    assert_eq!(sources.take_forwardable_offers(OWN), [failed]);
-    assert!(sources.take_forwardable_offers(OWN).is_empty());
+    assert_eq!(sources.take_forwardable_offers(OWN_VERSION), [failed]);
+    assert!(sources.take_forwardable_offers(OWN_VERSION).is_empty());
     assert!(matches!(
-        sources.plan_next_step(OWN, START),
+        sources.plan_next_step(OWN_VERSION, START),
         FetchStep::FetchOffered(_, NEWEST)
     ));
-    assert_eq!(sources.take_forwardable_offers(OWN), [newest]);
-    assert!(sources.take_forwardable_offers(OWN).is_empty());
+    assert_eq!(sources.take_forwardable_offers(OWN_VERSION), [newest]);
+    assert!(sources.take_forwardable_offers(OWN_VERSION).is_empty());
     let late = START + OFFER_WAIT;
     assert_eq!(
-        sources.plan_next_step(OWN, late),
+        sources.plan_next_step(OWN_VERSION, late),
         FetchStep::FetchReported(node(5), NEWEST)
     );
-    assert_eq!(sources.plan_next_step(OWN, late), FetchStep::Done);
-    assert!(sources.take_forwardable_offers(OWN).is_empty());
+    assert_eq!(sources.plan_next_step(OWN_VERSION, late), FetchStep::Done);
+    assert!(sources.take_forwardable_offers(OWN_VERSION).is_empty());
 }
 
 /// Input of the model: an offer, a report, or one step of the fetching node after `pause` milliseconds.
@@ -203,7 +209,7 @@
 #[derive(Default)]
 struct FetchingNode {
     sources: TableSources,
-    own: ConfigurationVersion,
+    own_version: ConfigurationVersion,
     now: Timestamp,
     /// Number of offers and reports by node; each allows one fetch.
     unfetched: HashMap<SocketAddr, usize>,
@@ -225,10 +231,10 @@
             Input::Report { from, version } => {
                 let version = ConfigurationVersion(u64::from(version % 8));
                 let from = node(from % 4);
-                let is_newer = self
-                    .sources
-                    .record_report(from, version, self.own, self.now);
-                assert_eq!(is_newer, version > self.own);
+                let is_newer =
+                    self.sources
+                        .record_report(from, version, self.own_version, self.now);
+                assert_eq!(is_newer, version > self.own_version);
                 *self.unfetched.entry(from).or_default() += usize::from(is_newer);
             }
             Input::Step { succeeds, pause } => {
@@ -239,25 +245,29 @@
     }
 
     fn step(&mut self, succeeds: bool) -> FetchStep {
-        let forwardable = self.sources.take_forwardable_offers(self.own);
+        let forwardable = self.sources.take_forwardable_offers(self.own_version);
         let is_fetched = |offer: &TableOffer| self.fetched.contains(&(offer.from, offer.version));
         let (fetched, unfetched): (Vec<_>, Vec<_>) =
             forwardable.iter().partition(|offer| is_fetched(offer));
         assert!(fetched.len() >= self.fetched.len());
-        assert!(unfetched.iter().all(|offer| offer.version <= self.own));
+        assert!(
+            unfetched
+                .iter()
+                .all(|offer| offer.version <= self.own_version)
+        );
         self.fetched.clear();
         self.forwarded += forwardable.len();
-        let step = self.sources.plan_next_step(self.own, self.now);
+        let step = self.sources.plan_next_step(self.own_version, self.now);
         match step {
             FetchStep::FetchOffered(from, version) | FetchStep::FetchReported(from, version) => {
-                assert!(version > self.own);
+                assert!(version > self.own_version);
                 let left = self
                     .unfetched
                     .get_mut(&from)
                     .expect("the node reported a version");
                 *left = left.checked_sub(1).expect("one fetch per offer or report");
                 if succeeds {
-                    self.own = version;
+                    self.own_version = version;
                 }
             }
             FetchStep::Wait(until) => {
--- a/tests/integration/table_spreading/mesh.rs
+++ b/tests/integration/table_spreading/mesh.rs
@@ -271,11 +271,11 @@
 
     pub fn run(&mut self, end: Timestamp) {
         while let Some(event) = self.timeline.next_until(end) {
-            self.take(event);
+            self.handle_event(event);
         }
     }
 
-    pub fn take(&mut self, event: Event) {
+    pub fn handle_event(&mut self, event: Event) {
         match event {
             Event::Network(event) => {
                 if let NetworkEvent::SegmentReceived(transfer, _) = event {
--- a/tests/integration/table_spreading/tables.rs
+++ b/tests/integration/table_spreading/tables.rs
@@ -93,7 +93,7 @@
         self.versions.last().expect("a version").version
     }
 
-    /// Bytes of the answer of a node at version `has` to a node at version `since`; none if there are no changes.
+    /// Bytes of the answer of a node at `version_there` to a node at version `since`; none if there are no changes.
     pub fn size_of_change(
         &self,
         since: ConfigurationVersion,
