--- a/src/proxy/core.rs
+++ b/src/proxy/core.rs
@@ -89,7 +89,7 @@
     pub class_bytes: RefCell<ClassBytes>,
     /// Whether a newer routing table is being fetched from other nodes.
     pub is_fetching_table: Cell<bool>,
-    /// Nodes that have announced newer routing tables.
+    /// Nodes that have offered or reported newer versions of the routing table.
     pub table_sources: RefCell<TableSources>,
     /// How long other nodes have been reporting newer versions of the configuration.
     pub version_lag: RefCell<VersionLag>,
--- a/src/proxy/core/counters.rs
+++ b/src/proxy/core/counters.rs
@@ -16,7 +16,7 @@
     pub unknown: Cell<u64>,
     /// Requests executed at the local upstream.
     pub executed: Cell<u64>,
-    /// Retries and hedges that were paid for from a retry budget.
+    /// Retries and hedges that were spent from a retry budget.
     pub retries: Cell<u64>,
     /// Requests that the local upstream was executing when it crashed.
     pub aborted_by_crash: Cell<u64>,
--- a/src/proxy/core/mesh_roles.rs
+++ b/src/proxy/core/mesh_roles.rs
@@ -77,30 +77,30 @@
     /// The other reachable nodes of the zone, by the addresses on which they accept requests from nodes.
     #[must_use]
     pub fn list_zone_nodes(&self) -> Vec<SocketAddr> {
-        let own_zone = &self.settings.availability_zone;
-        self.list_reachable(|record| record.availability_zone == *own_zone)
+        let local_zone = &self.settings.availability_zone;
+        self.list_reachable(|record| record.availability_zone == *local_zone)
     }
 
     /// The other reachable nodes of the zone that are not known to have the routing table in force.
     #[must_use]
     pub fn list_zone_nodes_without_table(&self) -> Vec<SocketAddr> {
-        let mut zone = self.list_zone_nodes();
+        let mut nodes = self.list_zone_nodes();
         let directory = self.directory.borrow();
-        zone.retain(|address| !directory.has_version(*address));
-        zone
+        nodes.retain(|address| !directory.has_version(*address));
+        nodes
     }
 
     /// The other nodes of the zone in ring order, starting with the one after this node. `has_version` returns whether a node is
-    /// known to have the state that the caller spreads along the ring. Empty if no routing table is in force.
+    /// known to have the state that the caller sends along the ring. Empty if no routing table is in force.
     #[must_use]
     pub fn list_ring(&self, has_version: impl Fn(SocketAddr) -> bool) -> Vec<RingNode> {
         let directory = self.directory.borrow();
         if directory.routes().is_none() {
             return Vec::new();
         }
-        let own_zone = &self.settings.availability_zone;
+        let local_zone = &self.settings.availability_zone;
         let known_nodes = directory.nodes.values();
-        let zone = known_nodes.filter(|node| node.record.availability_zone == *own_zone);
+        let zone = known_nodes.filter(|node| node.record.availability_zone == *local_zone);
         let ring = order_ring(
             self.settings.peer_address,
             zone.map(|node| node.record.address),
@@ -126,7 +126,7 @@
     }
 }
 
-/// Whether no request to the node has failed since its last success and no pause is in force.
+/// Whether no request to the node has failed since its last success and no backoff is in force.
 fn is_reachable(node: &KnownNode, now: Timestamp) -> bool {
     node.consecutive_failures == 0 && node.backoff_until <= now
 }
--- a/src/proxy/crash_detection.rs
+++ b/src/proxy/crash_detection.rs
@@ -1,8 +1,8 @@
 //! Detects requests that crash the upstreams which execute them, and quarantines these requests.
 //!
 //! The node of an upstream detects its crash and reports it to the crash counters of each aborted request. Crash counters are nodes
-//! that count the crashes under a request. One that reaches the threshold propagates the quarantine to all nodes and writes it to the
-//! store for nodes that start later.
+//! that count the crashes with a request. One that reaches the threshold propagates the quarantine to all nodes and writes it
+//! to the store for nodes that start later.
 
 use crate::{
     coordination::crash_counters::{CRASH_COUNTERS, order_crash_counters},
@@ -151,8 +151,8 @@
     quarantine_request(core, fingerprint, QuarantineSource::Reported)
 }
 
-/// Corrects the quarantines in the store after its restore from a copy: writes those that the copy lacks and deletes those that were
-/// lifted since. Only the first node of the mesh does so. `stored` holds the quarantines in the copy.
+/// Corrects the quarantines in the store after it was restored from a backup: writes those that the store lacks and deletes those
+/// that were lifted since. Only the first node of the mesh does so. `stored` holds the quarantines in the store.
 pub fn write_lost_quarantines(core: &ProxyCore, stored: &BTreeSet<RequestFingerprint>) {
     if !core.is_first_in_mesh() {
         return;
--- a/src/proxy/directory.rs
+++ b/src/proxy/directory.rs
@@ -110,8 +110,8 @@
 
     /// Applies a record of a node unless a later record of that node is known. Returns whether it changed what is known.
     ///
-    /// If a peer sends a record of an unknown node from a part of the store that has already been read here, the record has
-    /// been deleted since. Without this check, peers that have not learned of the deletion would add the node again.
+    /// If a peer sends a record of an unknown node from a part of the store that has already been read here, the store has
+    /// deleted the record since. Without this check, peers that have not learned of the deletion would add the node again.
     pub fn apply_record(&mut self, stored: StoredRecord, source: StateSource) -> bool {
         let is_known_part = (1..=self.read_position).contains(&stored.revision);
         let is_unknown = !self.nodes.contains_key(&stored.record.address);
@@ -134,8 +134,9 @@
         }
     }
 
-    /// Compares the known records with the first full read after the store was restored from a copy, and updates their revisions.
-    /// Known records stay, since the copy is older. Returns the records that the store has lost or holds in another state.
+    /// Compares the known records with the first full read after the store was restored from a backup, and updates their
+    /// revisions. Known records stay, since the backup is older. Returns the records that the store has lost or holds in another
+    /// state.
     pub fn reconcile_with_restored_store(
         &mut self,
         stored_records: &[StoredRecord],
--- a/src/proxy/entry/attempt.rs
+++ b/src/proxy/entry/attempt.rs
@@ -19,10 +19,10 @@
 
 /// Time for which a node gets no attempts after a refusal that holds for all requests, for instance because its upstream is down. The
 /// upstream announces a change within a second or two; more frequent attempts cost a message each way and achieve nothing.
-const REFUSAL_PAUSE: Duration = Duration::from_millis(300);
+const REFUSAL_BACKOFF: Duration = Duration::from_millis(300);
 
 /// If a request ends while an attempt at a node is in progress and the node has sent nothing for this time, the node gets no attempts
-/// for a while. The time is longer than usual work takes, so a healthy node answers other requests within it.
+/// for a while. The time is longer than most requests take, so a healthy node answers other requests within it.
 const SILENCE_LIMIT: Duration = Duration::from_millis(150);
 
 /// An attempt that has ended.
@@ -174,7 +174,7 @@
 
     fn update_known_node(&self, result: &Result<CompletedAttempt, SendError>) {
         let Ok(completed) = result else {
-            return self.pause_node();
+            return self.back_off_node();
         };
         let now = self.core.timers.now();
         let mut directory = self.core.directory.borrow_mut();
@@ -184,12 +184,12 @@
         node.record_response(now);
         node.load = Some((completed.answer.load, now));
         if let AttemptOutcome::Refused(reason) = completed.answer.outcome {
-            pause_after_refusal(node, reason, now);
+            back_off_after_refusal(node, reason, now);
         }
     }
 
     /// Sends no attempts to the node for a while.
-    fn pause_node(&self) {
+    fn back_off_node(&self) {
         if Mechanism::NodeBackoff.is_disabled() {
             return;
         }
@@ -198,13 +198,13 @@
         let Some(node) = directory.nodes.get_mut(&self.to) else {
             return;
         };
-        let pause = node.record_unreachable(now);
+        let backoff = node.record_unreachable(now);
         let failures = node.consecutive_failures;
         drop(directory);
         self.core.log(&ProxyEvent::NodeUnreachable {
             to: self.to,
             failures,
-            pause_ms: in_millis(pause),
+            pause_ms: in_millis(backoff),
         });
     }
 
@@ -222,10 +222,10 @@
     }
 }
 
-/// Pauses attempts at a node that refuses all requests, whatever their class.
-fn pause_after_refusal(node: &mut KnownNode, reason: RefusalReason, now: Timestamp) {
+/// Sends no attempts for a while to a node that refuses all requests, whatever their class.
+fn back_off_after_refusal(node: &mut KnownNode, reason: RefusalReason, now: Timestamp) {
     if !Mechanism::NodeBackoff.is_disabled() && reason.is_node_wide() {
-        node.backoff_until = now + REFUSAL_PAUSE;
+        node.backoff_until = now + REFUSAL_BACKOFF;
     }
 }
 
@@ -235,7 +235,7 @@
             // The request ended while this attempt was in progress: the log shows where the time of the request went.
             self.record_event(LoggedEnd::Abandoned, (0, 0), 0);
             if self.is_node_silent() {
-                self.pause_node();
+                self.back_off_node();
             }
         }
         let mut directory = self.core.directory.borrow_mut();
--- a/src/proxy/entry/request_router.rs
+++ b/src/proxy/entry/request_router.rs
@@ -66,8 +66,8 @@
     /// It becomes the outcome of the request if no later attempt gives one.
     earlier_outcome: Option<RequestOutcome>,
     last_refusal: RefusalReason,
-    /// Retries taken from the retry budget.
-    retries_paid: u16,
+    /// Retries spent from the retry budget.
+    spent_retries: u16,
 }
 
 impl RequestRouter {
@@ -83,7 +83,7 @@
             attempts,
             earlier_outcome: None,
             last_refusal: RefusalReason::NoUpstream,
-            retries_paid: 0,
+            spent_retries: 0,
         }
     }
 
@@ -144,7 +144,7 @@
         if Mechanism::Hedging.is_disabled() {
             return;
         }
-        if self.in_flight.len() == 1 && !self.search.has_waited() && self.pay_for_retry() {
+        if self.in_flight.len() == 1 && !self.search.has_waited() && self.try_spend_retry() {
             // Without another node to ask, the first attempt goes on alone.
             let _ = self.try_next_node();
         }
@@ -153,7 +153,7 @@
     fn retry(&mut self) -> bool {
         !Mechanism::Retries.is_disabled()
             && self.may_retry()
-            && self.pay_for_retry()
+            && self.try_spend_retry()
             && self.try_next_node()
     }
 
@@ -168,13 +168,13 @@
         self.attempts.upstream_attempts().saturating_add(in_flight) < self.call.route.max_attempts
     }
 
-    fn pay_for_retry(&mut self) -> bool {
+    fn try_spend_retry(&mut self) -> bool {
         if !self.may_attempt_another() {
             return false;
         }
         let granted = spend_retry(&self.core, &self.call.service);
         if granted {
-            self.retries_paid = self.retries_paid.saturating_add(1);
+            self.spent_retries = self.spent_retries.saturating_add(1);
             increment(&self.core.counters.retries);
         } else {
             self.core.log(&ProxyEvent::RetrySuppressed {
@@ -269,7 +269,7 @@
         let in_flight = u16::try_from(self.in_flight.len()).unwrap_or(u16::MAX);
         let upstream_attempts = self.attempts.upstream_attempts().saturating_add(in_flight);
         let unspent = self
-            .retries_paid
+            .spent_retries
             .saturating_sub(upstream_attempts.saturating_sub(1));
         refund_retries(&self.core, &self.call.service, unspent);
     }
--- a/src/proxy/entry/request_router/attempt_results.rs
+++ b/src/proxy/entry/request_router/attempt_results.rs
@@ -24,7 +24,7 @@
     End(RequestOutcome),
     /// The attempt did not reach an upstream; another node may be asked.
     TryAnotherNode,
-    /// The attempt reached an upstream or may have; another attempt is a retry and is paid for from the budget.
+    /// The attempt reached an upstream or may have; another attempt is a retry and is spent from the retry budget.
     Retry,
 }
 
--- a/src/proxy/entry/startup_wait.rs
+++ b/src/proxy/entry/startup_wait.rs
@@ -9,7 +9,8 @@
 use std::time::Duration;
 
 /// Time after the start of the node within which requests wait. With 336 nodes started at once, half of them had the node
-/// records after 190 ms and the last one after 510 ms. A node without the records after this time can't tell when it will get them.
+/// records after 190 ms and the last one after 510 ms. A node without the records after this time can't know when it
+/// will get them.
 const STARTUP_WAIT: Duration = Duration::from_millis(500);
 /// Interval at which a waiting request checks.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
--- a/src/proxy/events.rs
+++ b/src/proxy/events.rs
@@ -104,7 +104,7 @@
         finish_ms: u64,
         /// Time that the attempt waited for a slot; 0 if it was refused.
         waited_ms: u64,
-        /// Time that work took on the VM when the attempt ended, in percent of the usual; 0 if no answer came.
+        /// Time that work took on the VM when the attempt ended, in percent of its time at full speed; 0 if no answer came.
         pace_percent: u16,
         /// Time since the attempt was sent.
         took_ms: u64,
@@ -129,7 +129,7 @@
         queued: u16,
         /// Requests that the node lets the upstream run at once.
         limit: u16,
-        /// Time that work took on the VM when the attempt was admitted or refused, in percent of the usual.
+        /// Time that work took on the VM when the attempt was admitted or refused, in percent of its time at full speed.
         pace_percent: u16,
         /// Age of that value; none if the value is not known.
         pace_age_ms: Option<u64>,
@@ -404,7 +404,7 @@
         /// Number of consecutive failures before.
         failures: u32,
     },
-    /// The store was restored from a copy and has lost what was written after the copy was made.
+    /// The store was restored from a backup and has lost what was written after the backup was made.
     StoreRestored {
         /// Topic in which this was noticed.
         what: &'static str,
@@ -436,7 +436,7 @@
     },
     /// The settings file was read again.
     SettingsRead {
-        /// Whether a setting differs from those in force. Such a change takes effect at the next start.
+        /// Whether a setting differs from those read before. Limits take effect at once, other settings at the next start.
         changed: bool,
     },
     /// The settings file has errors. The settings in force stay.
--- a/src/proxy/executing.rs
+++ b/src/proxy/executing.rs
@@ -136,8 +136,8 @@
     hop: &HopRequest,
     fingerprint: RequestFingerprint,
 ) -> Option<(RefusalReason, Duration)> {
-    // Clients repeat a request that crashes upstreams under new request IDs and at other nodes. Without the quarantine each
-    // repetition would crash one more upstream and abort all requests that it executes.
+    // Clients retry a request that crashes upstreams under new request IDs and at other nodes. Without the quarantine each retry
+    // would crash one more upstream and abort all requests that it executes.
     if let Some(remaining) = find_quarantine(core, fingerprint) {
         return Some((RefusalReason::Quarantined, remaining));
     }
--- a/src/proxy/executing/dispatch.rs
+++ b/src/proxy/executing/dispatch.rs
@@ -34,7 +34,7 @@
 /// without notice; a request that is sent at the same time has to be retried.
 const IDLE_LIMIT: Duration = Duration::from_secs(3);
 /// Maximum body of a response, in bytes.
-const BODY_LIMIT: usize = 64 * 1024 * 1024;
+const MAX_BODY_BYTES: usize = 64 * 1024 * 1024;
 /// Time for which the upstream gets no requests after a failed connect or a crash.
 const UPSTREAM_DOWN_PAUSE: Duration = Duration::from_millis(100);
 
@@ -66,11 +66,11 @@
         ),
         connect_timeout: CONNECT_TIMEOUT.min(time_left),
         idle_limit: IDLE_LIMIT,
-        max_body_bytes: BODY_LIMIT,
+        max_body_bytes: MAX_BODY_BYTES,
         answer_timeouts: None,
     };
     let started = core.timers.now();
-    let percent = core.slots.load().slowdown_percent;
+    let slowdown_percent = core.slots.load().slowdown_percent;
     let deadline = core.timers.after(time_left);
     let address = core.settings.upstream_address;
     let is_answer = |parts: &Parts| is_response_to(names, parts, id.as_ref());
@@ -102,7 +102,7 @@
         .record_result(status.is_none_or(|status| status.is_server_error()));
     if status.is_some_and(|status| status.is_success()) {
         core.slots
-            .record_duration(&hop.class, now.since(started), percent);
+            .record_duration(&hop.class, now.since(started), slowdown_percent);
     }
     result
 }
--- a/src/proxy/executing/probes.rs
+++ b/src/proxy/executing/probes.rs
@@ -18,7 +18,7 @@
 /// A kept connection that has been idle for longer is not used for a probe.
 const IDLE_LIMIT: Duration = Duration::from_secs(2);
 /// Maximum body of a probe response, in bytes.
-const BODY_LIMIT: usize = 64 * 1024;
+const MAX_BODY_BYTES: usize = 64 * 1024;
 
 /// Whether the upstream answers a probe as the incarnation of the record and accepts requests (a success status).
 pub async fn verify_incarnation(core: &Rc<ProxyCore>, record: &NodeRecord) -> bool {
@@ -104,7 +104,7 @@
         // Longer than the whole probe, so that a failed connect always means a refused connection.
         connect_timeout: PROBE_TIMEOUT * 2,
         idle_limit: IDLE_LIMIT,
-        max_body_bytes: BODY_LIMIT,
+        max_body_bytes: MAX_BODY_BYTES,
         answer_timeouts: None,
     };
     let timeout = core.timers.after(PROBE_TIMEOUT);
--- a/src/proxy/executing/slots.rs
+++ b/src/proxy/executing/slots.rs
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Resets what is known of the former incarnation of the upstream only.
+    /// Resets what applies only to the former incarnation of the upstream.
     pub fn reset_incarnation_state(&self) {
         self.paused_until.set(Timestamp::default());
         self.slowdown.reset_baseline();
@@ -66,7 +66,7 @@
         self.queue.borrow_mut().mark_incarnation_inherited();
     }
 
-    /// Records that the upstream did not answer a probe, so that the next one is sent after the usual interval.
+    /// Records that the upstream did not answer a probe, so that the next one is sent only after the maximum age of a report.
     pub(super) fn record_unanswered_probe(&self, now: Timestamp) {
         self.slowdown.record_unanswered_probe(now);
         self.warmup_probed_at.set(Some(now));
@@ -90,17 +90,17 @@
         }
     }
 
-    /// Time that a request of a class takes without slowdown.
+    /// Expected time that a request of a class takes at full speed of the VM.
     #[must_use]
     pub fn expected_time(&self, class: &ClassName) -> Duration {
         self.service_times.borrow().expected_time(class)
     }
 
-    /// Records the duration of a request that started when the VM took `percent` percent of the usual time.
-    pub fn record_duration(&self, class: &ClassName, took: Duration, percent: u16) {
+    /// Records the duration of a request that started while work took `slowdown_percent` percent of its time at full speed.
+    pub fn record_duration(&self, class: &ClassName, took: Duration, slowdown_percent: u16) {
         self.service_times
             .borrow_mut()
-            .observe(class, took, percent);
+            .observe(class, took, slowdown_percent);
     }
 
     /// Records whether a request failed at the upstream.
--- a/src/proxy/executing/slowdown.rs
+++ b/src/proxy/executing/slowdown.rs
@@ -176,7 +176,7 @@
     };
     match send_probe(core, uri, ConnectionReuse::Any).await {
         Ok(answer) => record_load_header(core, answer.headers()),
-        // The next probe is sent after the usual interval, not by each request that arrives in the meantime.
+        // The next probe is sent after the maximum age of a report, not by each request that arrives in the meantime.
         Err(_) => core.slots.record_unanswered_probe(core.timers.now()),
     }
 }
--- a/src/proxy/operator_requests.rs
+++ b/src/proxy/operator_requests.rs
@@ -104,10 +104,10 @@
 #[must_use]
 pub fn describe_health(core: &ProxyCore) -> NodeHealth {
     let load = core.slots.load();
-    let own = core.local_upstream.borrow();
+    let upstream = core.local_upstream.borrow();
     NodeHealth {
         ready: core.is_ready(),
-        leaving: own.current().is_some_and(|current| current.leaving),
+        leaving: upstream.current().is_some_and(|current| current.leaving),
         running: load.running,
         queued: load.queued,
     }
@@ -140,8 +140,8 @@
 
 fn describe_upstream(core: &ProxyCore) -> Option<UpstreamStatus> {
     let load = core.slots.load();
-    let own = core.local_upstream.borrow();
-    let current = own.current()?;
+    let upstream = core.local_upstream.borrow();
+    let current = upstream.current()?;
     Some(UpstreamStatus {
         instance: current.identity.instance.clone(),
         leaving: current.leaving,
--- a/src/proxy/peer_requests.rs
+++ b/src/proxy/peer_requests.rs
@@ -37,7 +37,7 @@
 /// connections: it is unknown whether a request sent on one was executed, while a failed connect proves that it was not.
 const IDLE_LIMIT: Duration = Duration::from_secs(1);
 /// Maximum body between nodes, in bytes.
-const BODY_LIMIT: usize = 64 * 1024 * 1024;
+const MAX_BODY_BYTES: usize = 64 * 1024 * 1024;
 
 /// Sends a request to another node, which executes it at its local upstream.
 ///
@@ -56,7 +56,7 @@
         ),
         connect_timeout: CONNECT_TIMEOUT,
         idle_limit: IDLE_LIMIT,
-        max_body_bytes: BODY_LIMIT,
+        max_body_bytes: MAX_BODY_BYTES,
         answer_timeouts: None,
     };
     let is_answer = |parts: &Parts| parts.headers.contains_key(HOP_HEADER);
--- a/src/proxy/retry_budgets.rs
+++ b/src/proxy/retry_budgets.rs
@@ -21,7 +21,7 @@
     budget.count_request(now, core.limits().retry_budget);
 }
 
-/// Takes one retry from the budget of a service; false if the budget is exhausted.
+/// Spends one retry from the budget of a service; false if the budget is exhausted.
 pub fn spend_retry(core: &ProxyCore, service: &ServiceName) -> bool {
     let share = compute_budget_share(core);
     let mut budgets = core.retry_budgets.borrow_mut();
@@ -29,7 +29,7 @@
     budget.try_spend(core.timers.now(), share, 1.0)
 }
 
-/// Returns retries to the budget that were taken and reached no upstream.
+/// Returns retries to the budget that were spent and reached no upstream.
 pub fn refund_retries(core: &ProxyCore, service: &ServiceName, retries: u16) {
     if let Some(budget) = core.retry_budgets.borrow_mut().get_mut(service) {
         budget.refund(retries);
@@ -42,7 +42,7 @@
     calls.check_budgets(&mut core.retry_budgets.borrow_mut(), RetryBudget::can_spend)
 }
 
-/// Takes the calls to other services that a retry of a class repeats from their budgets. Returns false and takes nothing if a
+/// Spends the calls to other services that a retry of a class repeats from their budgets. Returns false and spends nothing if a
 /// budget has no room for them.
 pub fn spend_call_budget(core: &ProxyCore, class: &ClassName) -> bool {
     let calls = ExpectedCalls::of_execution(core, class);
--- a/src/proxy/start.rs
+++ b/src/proxy/start.rs
@@ -20,9 +20,9 @@
 /// Timeout for receiving a request body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 /// Maximum request head, in bytes.
-const HEAD_LIMIT: usize = 64 * 1024;
+const MAX_HEAD_BYTES: usize = 64 * 1024;
 /// Maximum request body, in bytes.
-const BODY_LIMIT: usize = 64 * 1024 * 1024;
+const MAX_BODY_BYTES: usize = 64 * 1024 * 1024;
 
 /// The listeners of a node.
 pub struct ProxyListeners {
@@ -62,7 +62,7 @@
         max_connections: MAX_CONNECTIONS,
         head_timeout: HEAD_TIMEOUT,
         body_timeout: BODY_TIMEOUT,
-        max_head_bytes: HEAD_LIMIT,
-        max_body_bytes: BODY_LIMIT,
+        max_head_bytes: MAX_HEAD_BYTES,
+        max_body_bytes: MAX_BODY_BYTES,
     }
 }
--- a/src/proxy/state_sharing.rs
+++ b/src/proxy/state_sharing.rs
@@ -51,11 +51,13 @@
 /// Asks a few other nodes of the zone to read the store for a while. The store may reject both readers of a zone and no other
 /// node; the zone would then not learn of a change in time.
 pub fn delegate_store_reading(core: &Rc<ProxyCore>) {
-    let mut zone = core.list_zone_nodes();
-    zone.shuffle(&mut rand::rng());
-    zone.truncate(SUBSTITUTE_READERS);
-    core.log(&ProxyEvent::ReadingHandedOver { nodes: zone.len() });
-    for to in zone {
+    let mut receivers = core.list_zone_nodes();
+    receivers.shuffle(&mut rand::rng());
+    receivers.truncate(SUBSTITUTE_READERS);
+    core.log(&ProxyEvent::ReadingHandedOver {
+        nodes: receivers.len(),
+    });
+    for to in receivers {
         let core = Rc::clone(core);
         let message = StateMessage {
             read_store: true,
--- a/src/proxy/store_sync.rs
+++ b/src/proxy/store_sync.rs
@@ -101,7 +101,7 @@
         loop {
             let (max_wait, reason) = match immediate_reason.take() {
                 Some(reason) => (Duration::ZERO, reason),
-                None => self.wait_for_turn(topic, retries.is_failing()).await,
+                None => self.wait_until_due(topic, retries.is_failing()).await,
             };
             let rereads_all = self.read_progress.is_reread_due(core.timers.now());
             let known = next.max(self.get_resume_position(topic));
@@ -132,7 +132,7 @@
 
     /// Waits until this node is due to read. Returns how long the store may hold the read open until a record arrives, and the
     /// reason of the read.
-    async fn wait_for_turn(&self, topic: StoreTopic, is_failing: bool) -> (Duration, CallReason) {
+    async fn wait_until_due(&self, topic: StoreTopic, is_failing: bool) -> (Duration, CallReason) {
         let core = &self.core;
         wait_for_first_records(core).await;
         let jitter = rand::rng().random_range(0.8..1.2);
@@ -194,7 +194,7 @@
         }
     }
 
-    /// Records how far the topic has been read, and logs if the store was restored from a backup copy.
+    /// Records how far the topic has been read, and logs if the store was restored from a backup.
     fn track_read(
         &self,
         topic: StoreTopic,
--- a/src/proxy/store_sync/configuration.rs
+++ b/src/proxy/store_sync/configuration.rs
@@ -27,7 +27,8 @@
         }
     }
 
-    /// Clears the position that other nodes have sent. The store has deleted the records from there on, or was restored from a copy.
+    /// Clears the position that other nodes have sent. The store has deleted the records from there on, or was restored from a
+    /// backup.
     pub(super) fn clear_resume_position(&self, topic: StoreTopic) {
         if topic == StoreTopic::Configuration {
             self.core.directory.borrow_mut().clear_stored_table();
--- a/src/proxy/store_sync/nodes.rs
+++ b/src/proxy/store_sync/nodes.rs
@@ -24,7 +24,7 @@
 use std::collections::HashSet;
 
 impl<S: StateStore> TopicSync<S> {
-    /// Applies the first full read after the store was restored from a copy.
+    /// Applies the first full read after the store was restored from a backup.
     pub(super) async fn apply_restored_nodes(&self, records: &RecordBatch) {
         let node_records = records.records.iter();
         let node_records: Vec<StoredRecord> = node_records
@@ -40,7 +40,7 @@
     pub(super) async fn apply_nodes(&self, records: &RecordBatch, is_full_read: bool) {
         let core = &self.core;
         let mut new_records = Vec::new();
-        let mut own = None;
+        let mut own_record = None;
         for record in &records.records {
             if let Some(fingerprint) = parse_quarantine_key(&record.key) {
                 self.apply_quarantine(fingerprint, record, is_full_read);
@@ -54,7 +54,7 @@
                 continue;
             };
             if stored.record.address == core.settings.peer_address {
-                own = Some(stored);
+                own_record = Some(stored);
             } else if core.apply_record(stored.clone(), StateSource::Store) {
                 new_records.push(stored);
             }
@@ -73,12 +73,12 @@
             .advance_read_position(records.next);
         core.mark_node_records_read();
         if is_full_read {
-            new_records = find_records_to_share(core, new_records, own.as_ref());
+            new_records = find_records_to_share(core, new_records, own_record.as_ref());
         }
         share_with_zone(core, new_records);
-        if let Some(own) = own {
+        if let Some(own_record) = own_record {
             wait_for_routes(core).await;
-            apply_stored_record(core, own.record).await;
+            apply_stored_record(core, own_record.record).await;
         }
     }
 
@@ -132,11 +132,11 @@
 fn find_records_to_share(
     core: &ProxyCore,
     read: Vec<StoredRecord>,
-    own: Option<&StoredRecord>,
+    own_record: Option<&StoredRecord>,
 ) -> Vec<StoredRecord> {
-    match own {
-        Some(own) if core.is_zone_reader() => {
-            let is_later = |stored: &StoredRecord| stored.revision > own.revision;
+    match own_record {
+        Some(own_record) if core.is_zone_reader() => {
+            let is_later = |stored: &StoredRecord| stored.revision > own_record.revision;
             read.into_iter().filter(is_later).collect()
         }
         _ => Vec::new(),
--- a/src/proxy/store_sync/restored_store.rs
+++ b/src/proxy/store_sync/restored_store.rs
@@ -1,6 +1,6 @@
-//! Handles a store that was restored from a backup copy.
+//! Handles a store that was restored from a backup.
 //!
-//! Such a store has lost the records written after the copy was made. Nodes keep what they know and write the lost records
+//! Such a store has lost the records written after the backup was made. Nodes keep what they know and write the lost records
 //! again.
 
 use super::{rewrite_own_record, startup::wait_for_routes};
@@ -41,7 +41,7 @@
     Incremental,
     /// The newest record of each key.
     Full,
-    /// The newest record of each key, read for the first time since the store was restored from a copy.
+    /// The newest record of each key, read for the first time since the store was restored from a backup.
     FirstAfterRestore,
     /// The newest record of each key, read once clients have had time to write the lost records again.
     AfterRewrites,
@@ -66,7 +66,7 @@
         self.reread_due.get().is_some_and(|due| due <= now)
     }
 
-    /// Records a read up to the position `next`. `is_full_read` tells whether it returned the newest record of each key.
+    /// Records a read up to the position `next`. `is_full_read` is true if it returned the newest record of each key.
     pub(super) fn track_read(&self, next: u64, is_full_read: bool, now: Timestamp) -> TopicRead {
         let before = self.read_position.replace(next);
         if !is_full_read {
@@ -119,8 +119,10 @@
         .directory
         .borrow_mut()
         .reconcile_with_restored_store(&records);
-    let own = core.settings.peer_address;
-    let own_stored = records.iter().find(|stored| stored.record.address == own);
+    let own_address = core.settings.peer_address;
+    let own_stored = records
+        .iter()
+        .find(|stored| stored.record.address == own_address);
     let own_stored = own_stored.map(|stored| stored.record.clone());
     for stored in records {
         let address = stored.record.address;
@@ -151,16 +153,16 @@
     if !core.is_zone_reader() {
         return;
     }
-    let own_zone = &core.settings.availability_zone;
-    let asked = lost_records.iter().filter(|record| {
-        record.availability_zone == *own_zone && record.address != core.settings.peer_address
+    let local_zone = &core.settings.availability_zone;
+    let receivers = lost_records.iter().filter(|record| {
+        record.availability_zone == *local_zone && record.address != core.settings.peer_address
     });
-    let asked: Vec<SocketAddr> = asked.map(|record| record.address).collect();
+    let receivers: Vec<SocketAddr> = receivers.map(|record| record.address).collect();
     let message = StateMessage {
         lost_in_epoch: Some(epoch),
         ..StateMessage::default()
     };
-    send_along_tree(core, &asked, &message);
+    send_along_tree(core, &receivers, &message);
 }
 
 /// Requests that the record of this node is written again, once for each epoch of the store that lacks it.
--- a/src/proxy/store_sync/retries.rs
+++ b/src/proxy/store_sync/retries.rs
@@ -59,8 +59,8 @@
             });
         }
         self.failures.set(failures + 1);
-        let (least, most) = RETRY_PAUSES;
-        let pause = (least * 2_u32.saturating_pow(failures.min(8))).min(most);
+        let (min, max) = RETRY_PAUSES;
+        let pause = (min * 2_u32.saturating_pow(failures.min(8))).min(max);
         let jitter = rand::rng().random_range(0.7..1.3);
         let _ = self
             .core
--- a/src/proxy/store_sync/startup.rs
+++ b/src/proxy/store_sync/startup.rs
@@ -1,7 +1,7 @@
 //! Delays the first reads of the store after a node has started.
 //!
 //! Each call to the store costs money, and most calls are made when hundreds of nodes start together: a node that knows no
-//! other node can't tell whether another one reads for its zone. At the first start of the whole mesh no client is waiting. Each
+//! other node doesn't know whether another one reads for its zone. At the first start of the whole mesh no client is waiting. Each
 //! node then reads the records of the other nodes only once its own record is stored, and gets the configuration from them. At any
 //! other start clients may be waiting. The configuration is then read at once and before the records of nodes, of which
 //! hundreds of nodes together read tens of megabytes.
@@ -56,8 +56,8 @@
     core.wait_for_node_records().await;
     let mut reader_fetches = 0;
     while core.routes().is_none() && reader_fetches < MAX_READER_FETCHES {
-        let zone = core.list_zone_nodes();
-        if let Some(to) = zone.choose(&mut rand::rng()) {
+        let zone_nodes = core.list_zone_nodes();
+        if let Some(to) = zone_nodes.choose(&mut rand::rng()) {
             fetch_first_table(core, *to).await;
         }
         if core.is_zone_reader() {
@@ -83,18 +83,18 @@
 /// Waits for the routing table, for a limited time. After a restart, a node knows its upstream from its stored record, and
 /// verifies it with a request whose path is in the configuration.
 pub(super) async fn wait_for_routes(core: &ProxyCore) {
-    let is_there = || core.routes().is_some();
-    wait_until(core, ROUTES_TIMEOUT, ROUTES_CHECK_INTERVAL, is_there).await;
+    let has_routes = || core.routes().is_some();
+    wait_until(core, ROUTES_TIMEOUT, ROUTES_CHECK_INTERVAL, has_routes).await;
 }
 
 async fn wait_until(
     core: &ProxyCore,
     timeout: Duration,
     interval: Duration,
-    holds: impl Fn() -> bool,
+    condition: impl Fn() -> bool,
 ) {
     let since = core.timers.now();
-    while !holds() && core.timers.now().since(since) < timeout {
+    while !condition() && core.timers.now().since(since) < timeout {
         let _ = core.timers.after(interval).recv_async().await;
     }
 }
--- a/src/proxy/table_fetching.rs
+++ b/src/proxy/table_fetching.rs
@@ -78,7 +78,7 @@
             .plan_next_step(own_version, now);
         match step {
             FetchStep::FetchOffered(from, version) => fetch(core, from, version, own_version).await,
-            // A node that offers the version is nearer than one that reported it on a request, so an offer takes precedence.
+            // Offers come from nodes of this zone, reports on requests from nodes of any zone, so an offer takes precedence.
             FetchStep::FetchReported(from, version) => tokio::select! {
                 () = fetch(core, from, version, own_version) => {}
                 () = core.table_offered.notified() => {}
--- a/src/proxy/upstream_announcements.rs
+++ b/src/proxy/upstream_announcements.rs
@@ -65,7 +65,7 @@
     }
 }
 
-/// Whether an announcement of another incarnation than the known one is contradicted by the upstream, which is asked.
+/// Whether the upstream, when probed, contradicts an announcement of another incarnation than the known one.
 ///
 /// An announcement of an incarnation that has ended may arrive late, and a node that was started since does not know that
 /// incarnation. If the announcement were applied, the incarnation that serves would count as ended for good.
@@ -167,8 +167,8 @@
 /// Builds the record of this node; none if its upstream is not known yet.
 #[must_use]
 pub fn build_own_record(core: &ProxyCore) -> Option<NodeRecord> {
-    let own = core.local_upstream.borrow();
-    let current = own.current()?;
+    let upstream = core.local_upstream.borrow();
+    let current = upstream.current()?;
     Some(NodeRecord {
         name: core.settings.name.clone(),
         address: core.settings.peer_address,
--- a/tests/integration/restored_store.rs
+++ b/tests/integration/restored_store.rs
@@ -1,4 +1,4 @@
-//! State of a node after the store was restored from a copy that lacks the newest records.
+//! State of a node after the store was restored from a backup that lacks the newest records.
 
 use camphorturn::{
     proxy::directory::{Directory, StateSource},
@@ -43,7 +43,7 @@
     record.incarnation.instance
 }
 
-/// The copy holds an older record of one node and none of another. Guards against a former incarnation of an upstream that
+/// The backup holds an older record of one node and none of another. Guards against a former incarnation of an upstream that
 /// replaces the current one, and against the removal of nodes whose record was lost.
 #[test]
 fn reconcile_with_restored_store_older_record() {
@@ -79,7 +79,7 @@
     assert_eq!(find_instance(&directory, 2), "i-2c");
 }
 
-/// The copy lacks a quarantine and holds one that was lifted since. Guards against requests that crash upstreams again or are
+/// The backup lacks a quarantine and holds one that was lifted since. Guards against requests that crash upstreams again or are
 /// refused again after the store was restored.
 #[test]
 fn list_differences_lost_and_lifted() {
