--- a/src/protocol/hop.rs
+++ b/src/protocol/hop.rs
@@ -282,7 +282,7 @@
     /// Position in the store's configuration topic up to which the sender knows the evacuations, packed.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub evacuations_position: Option<u64>,
-    /// The store lost the receiver's record when it was restored from a copy, which began this epoch. The receiver is
+    /// The store lost the receiver's record when it was restored from a backup, which began this epoch. The receiver is
     /// to write its record again.
     #[serde(
         rename = "lost_in_era",
--- a/src/protocol/operator_views.rs
+++ b/src/protocol/operator_views.rs
@@ -59,7 +59,7 @@
     pub running: u16,
     /// Requests that wait at the node for a slot.
     pub queued: u16,
-    /// Current time that requests take, in percent of their usual time.
+    /// Current time that requests take, in percent of their time at full speed of the VM.
     pub slowdown_percent: u16,
     /// Share of the last requests that failed at the upstream, in percent.
     pub failed_percent: u8,
--- a/src/protocol/outcome.rs
+++ b/src/protocol/outcome.rs
@@ -43,7 +43,7 @@
 
 impl RefusalReason {
     /// Whether the reason holds for every request of the service at that node, not only for the refused one. Such a
-    /// node is left out for a while.
+    /// node gets no requests for a while.
     #[must_use]
     pub const fn is_node_wide(self) -> bool {
         matches!(
--- a/src/protocol/store.rs
+++ b/src/protocol/store.rs
@@ -32,8 +32,8 @@
     /// The store has deleted the requested records.
     #[error("records have been deleted")]
     Deleted,
-    /// The store was restored from a copy: at the requested position it has another record or none.
-    #[error("the store was restored from a copy")]
+    /// The store was restored from a backup: at the requested position it has another record or none.
+    #[error("the store was restored from a backup")]
     EpochChanged,
     /// The store's answer can't be decoded, or a record that is to be appended can't be encoded.
     #[error("malformed data: {0}")]
--- a/src/transport/operators/client.rs
+++ b/src/transport/operators/client.rs
@@ -36,7 +36,7 @@
         problem: String,
     },
     /// The answer can't be decoded, or the request can't be encoded.
-    #[error("its answer can't be understood: {0}")]
+    #[error("invalid answer: {0}")]
     InvalidAnswer(String),
 }
 
--- a/src/transport/operators/server.rs
+++ b/src/transport/operators/server.rs
@@ -104,19 +104,25 @@
         }
         match path.as_str() {
             "/status" => {
-                let ask = |reply| OperatorRequest::Status { reply };
-                build_response(&check_method(req, "GET").and_then(|()| self.ask(ask)))
+                let build = |reply| OperatorRequest::Status { reply };
+                build_response(
+                    &check_method(req, "GET").and_then(|()| self.query_event_loop(build)),
+                )
             }
             "/health" => {
-                let ask = |reply| OperatorRequest::Health { reply };
-                build_response(&check_method(req, "GET").and_then(|()| self.ask(ask)))
+                let build = |reply| OperatorRequest::Health { reply };
+                build_response(
+                    &check_method(req, "GET").and_then(|()| self.query_event_loop(build)),
+                )
             }
             "/log" => build_response(&self.read_log_lines(req)),
             "/configuration" => build_response(&self.publish(req)),
             "/history" => build_response(&self.read_history(req)),
             "/drain" => {
-                let ask = |reply| OperatorRequest::Drain { reply };
-                build_response(&check_method(req, "POST").and_then(|()| self.ask(ask)))
+                let build = |reply| OperatorRequest::Drain { reply };
+                build_response(
+                    &check_method(req, "POST").and_then(|()| self.query_event_loop(build)),
+                )
             }
             "/evacuation" => build_response(&self.evacuate(req)),
             _ => build_response::<NodeHealth>(&Err(OperatorError::NotFound)),
@@ -135,7 +141,7 @@
     fn read_log_lines(&self, req: &Request) -> Result<LogPage, OperatorError> {
         check_method(req, "GET")?;
         let from = read_parameter(req, "from", "the number of a line")?.unwrap_or(0);
-        self.ask(|reply| OperatorRequest::LogLines { from, reply })
+        self.query_event_loop(|reply| OperatorRequest::LogLines { from, reply })
     }
 
     /// Publishes the configuration in the body. The server checks it even if the tool has checked it, because every node
@@ -147,7 +153,7 @@
             .map_err(|findings| OperatorError::BadBody(findings.to_string()))?;
         let request = Box::new(request);
         let build = |reply| OperatorRequest::Publish { request, reply };
-        self.ask_within(STORE_REPLY_TIMEOUT, build)
+        self.query_with_timeout(STORE_REPLY_TIMEOUT, build)
     }
 
     /// `POST` evacuates the zone that the query names, `DELETE` restores it.
@@ -168,7 +174,7 @@
             evacuated,
             reply,
         };
-        let answer = self.ask_within(STORE_REPLY_TIMEOUT, build)?;
+        let answer = self.query_with_timeout(STORE_REPLY_TIMEOUT, build)?;
         answer.map_err(|problem| match problem {
             EvacuationError::UnknownZone => bad_zone,
             EvacuationError::Store(cause) => OperatorError::StoreUnconfirmed(cause),
@@ -178,15 +184,18 @@
     fn read_history(&self, req: &Request) -> Result<HistoryView, OperatorError> {
         check_method(req, "GET")?;
         let build = |reply| OperatorRequest::History { reply };
-        let answer = self.ask_within(STORE_REPLY_TIMEOUT, build)?;
+        let answer = self.query_with_timeout(STORE_REPLY_TIMEOUT, build)?;
         answer.map_err(OperatorError::StoreUnavailable)
     }
 
-    fn ask<T>(&self, build: impl FnOnce(Sender<T>) -> OperatorRequest) -> Result<T, OperatorError> {
-        self.ask_within(REPLY_TIMEOUT, build)
+    fn query_event_loop<T>(
+        &self,
+        build: impl FnOnce(Sender<T>) -> OperatorRequest,
+    ) -> Result<T, OperatorError> {
+        self.query_with_timeout(REPLY_TIMEOUT, build)
     }
 
-    fn ask_within<T>(
+    fn query_with_timeout<T>(
         &self,
         limit: Duration,
         build: impl FnOnce(Sender<T>) -> OperatorRequest,
