--- a/src/commands.rs
+++ b/src/commands.rs
@@ -1,4 +1,4 @@
-//! The subcommands of the `camphorturn` command line, one file each.
+//! The subcommands of the `camphorturn` command line, one module each.
 
 pub mod check;
 pub mod dev;
--- a/src/commands/explain.rs
+++ b/src/commands/explain.rs
@@ -73,7 +73,7 @@
         writeln!(out, "No log line mentions request {}.", trace.request)?;
         return writeln!(
             out,
-            "Nodes log only a sample of the requests that end normally, and suppress lines above their rate \
+            "Nodes log only a sample of the requests that end normally, and drop lines above their rate \
              limits."
         );
     }
--- a/src/commands/log_source.rs
+++ b/src/commands/log_source.rs
@@ -109,7 +109,7 @@
     /// If a file can't be read, or the arguments don't say how to reach nodes.
     pub fn collect(&self) -> Result<CollectedLines, SourceError> {
         if self.reads_from_nodes() {
-            return Ok(NodeLines::new(&self.access)?.collect());
+            return Ok(NodeLogReader::new(&self.access)?.collect());
         }
         let texts = match self.files.as_slice() {
             [] => vec![("standard input".to_owned(), read_input()?)],
@@ -197,13 +197,13 @@
 }
 
 /// Reads the lines that nodes hold in memory, and remembers how far it has read each node.
-pub struct NodeLines {
+pub struct NodeLogReader {
     client: OperatorClient,
     seeds: Vec<SocketAddr>,
-    next: HashMap<SocketAddr, u64>,
+    next_sequence: HashMap<SocketAddr, u64>,
 }
 
-impl NodeLines {
+impl NodeLogReader {
     /// Creates a reader that has read nothing yet.
     ///
     /// # Errors
@@ -213,7 +213,7 @@
         Ok(Self {
             client: OperatorClient::new(&access),
             seeds: access.nodes,
-            next: HashMap::new(),
+            next_sequence: HashMap::new(),
         })
     }
 
@@ -229,7 +229,7 @@
         for (address, answer) in query_all(&addresses, |address| self.read_node(address)) {
             match answer {
                 Ok(page) => {
-                    self.next.insert(address, page.next);
+                    self.next_sequence.insert(address, page.next);
                     collected.dropped += page.dropped;
                     texts.push((address.to_string(), page.lines));
                 }
@@ -245,7 +245,11 @@
     }
 
     fn read_node(&self, address: SocketAddr) -> Result<LogPage, OperatorClientError> {
-        let from = self.next.get(&address).copied().unwrap_or_default();
+        let from = self
+            .next_sequence
+            .get(&address)
+            .copied()
+            .unwrap_or_default();
         let page = self.client.fetch_log_lines(address, from)?;
         if page.next < from {
             // The node was restarted and numbers its lines from the beginning.
--- a/src/commands/misses/text.rs
+++ b/src/commands/misses/text.rs
@@ -44,8 +44,8 @@
     )?;
     writeln!(
         out,
-        "  others: complete, except for lines that nodes suppressed; {} lines on late and other requests and \
-         on nodes were suppressed, {} are missing from the input",
+        "  others: complete, except for lines that nodes dropped; {} lines on late and other requests and \
+         on state changes were dropped, {} are missing from the input",
         report.dropped_lines, report.missing_lines
     )?;
     if report.without_end > 0 {
@@ -97,7 +97,7 @@
 fn write_window(window: &MissWindow, out: &mut dyn Write) -> io::Result<()> {
     write!(out, "{}  {}", window.from, describe_share(&window.total))?;
     if window.dropped_lines > 0 {
-        write!(out, "; {} lines suppressed", window.dropped_lines)?;
+        write!(out, "; {} lines dropped", window.dropped_lines)?;
     }
     writeln!(out)?;
     for (class, breakdown) in &window.classes {
--- a/src/commands/timeline.rs
+++ b/src/commands/timeline.rs
@@ -6,7 +6,7 @@
 
 use crate::{
     commands::{
-        log_source::{CollectedLines, NodeLines, SourceArguments, source_arguments},
+        log_source::{CollectedLines, NodeLogReader, SourceArguments, source_arguments},
         timeline::{
             page::write_page,
             selection::{LineSelection, line_selection},
@@ -74,7 +74,7 @@
     timers: &TimerService,
     out: &mut dyn Write,
 ) -> io::Result<ExitCode> {
-    let mut nodes = match NodeLines::new(&arguments.source.access) {
+    let mut nodes = match NodeLogReader::new(&arguments.source.access) {
         Ok(nodes) => nodes,
         Err(error) => {
             eprintln!("--follow reads from running nodes: {error}");
--- a/src/log_reading/cause.rs
+++ b/src/log_reading/cause.rs
@@ -18,9 +18,9 @@
 
 /// Returns sentences that explain the outcome; empty if the lines don't show a cause.
 #[must_use]
-pub fn find_causes(lines: &RequestLines<'_>, names: &NodeNames) -> Vec<String> {
+pub fn explain_outcome(lines: &RequestLines<'_>, names: &NodeNames) -> Vec<String> {
     let Some(end) = lines.end else {
-        return find_causes_without_end(lines);
+        return explain_missing_end(lines);
     };
     match RequestOutcome::classify(end) {
         RequestOutcome::Refused(reason) => explain_refusal(reason, end, lines, names),
@@ -44,12 +44,12 @@
     }
 }
 
-fn find_causes_without_end(lines: &RequestLines<'_>) -> Vec<String> {
+fn explain_missing_end(lines: &RequestLines<'_>) -> Vec<String> {
     if lines.executed.is_empty() {
         return Vec::new();
     }
     vec![
-        "The entry node did not log the end of the request: the node was killed before, or suppressed the line."
+        "The entry node did not log the end of the request: the node was killed before, or dropped the line."
             .to_owned(),
     ]
 }
@@ -72,7 +72,7 @@
                 .to_owned(),
         ],
         "no_upstream" if end.number("version") == 0 => {
-            vec![format!("{} knew no configuration yet.", end.node)]
+            vec![format!("{} had no configuration yet.", end.node)]
         }
         "configuration_behind" => vec![format!(
             "{} had no route for the request and had learned of a newer configuration, which it had not received yet.",
@@ -87,7 +87,7 @@
             end.node
         )],
         "upstream_down" => vec![
-            "The nodes that were asked knew no local upstream, or could not connect to it."
+            "The nodes that were asked had no local upstream, or could not connect to it."
                 .to_owned(),
         ],
         "upstream_shed" => {
@@ -111,7 +111,7 @@
         }
         _ => Vec::new(),
     };
-    causes.extend(list_unreachable(lines, names));
+    causes.extend(explain_unreachable(lines, names));
     causes.extend(list_state_changes(lines));
     causes.extend(list_capacity_changes(lines));
     causes
@@ -119,11 +119,11 @@
 
 /// Explains a refusal because no slot was free in time: the nodes asked, and which of them were slow.
 fn explain_no_slot(end: &LogLine, lines: &RequestLines<'_>) -> Vec<String> {
-    let soonest = find_soonest(lines);
-    let mut causes = vec![match soonest {
-        Some(soonest) => format!(
+    let earliest = find_earliest_completion(lines);
+    let mut causes = vec![match earliest {
+        Some(earliest) => format!(
             "None of the {} nodes asked had a slot in time: the earliest predicted completion was \
-             {soonest} ms away, the target {} ms.",
+             {earliest} ms away, the target {} ms.",
             end.number("asked"),
             end.number("target_ms")
         ),
@@ -132,7 +132,12 @@
             end.number("asked")
         ),
     }];
-    causes.extend(lines.executed.iter().filter_map(|line| describe_slow(line)));
+    causes.extend(
+        lines
+            .executed
+            .iter()
+            .filter_map(|line| explain_slow_execution(line)),
+    );
     causes
 }
 
@@ -170,7 +175,7 @@
         ));
         causes.extend(explain_slowest(lines, names));
     }
-    causes.extend(list_unreachable(lines, names));
+    causes.extend(explain_unreachable(lines, names));
     causes.extend(list_state_changes(lines));
     causes
 }
@@ -221,7 +226,7 @@
     if end.number("arrivals") > 1 {
         causes.push(format!("{} upstreams were tried.", end.number("arrivals")));
     }
-    causes.extend(list_unreachable(lines, names));
+    causes.extend(explain_unreachable(lines, names));
     causes.extend(list_capacity_changes(lines));
     causes
 }
@@ -245,7 +250,7 @@
     }];
     let slowdown = slowest.returned.number("pace_percent");
     if let Some(executed) = slowest.executed {
-        causes.extend(describe_slow(executed));
+        causes.extend(explain_slow_execution(executed));
     } else if slowdown >= SLOW_VM_PERCENT {
         causes.push(format!(
             "The VM of {node} was slow: work took {slowdown}% of its usual time."
@@ -257,15 +262,15 @@
 
 /// Reports how many slot requests were refused before a node accepted one.
 fn explain_shortage(lines: &RequestLines<'_>) -> Option<String> {
-    let soonest = find_soonest(lines)?;
+    let earliest = find_earliest_completion(lines)?;
     let refused = lines.end?.number("asked").saturating_sub(1);
     Some(format!(
-        "{refused} slot requests were refused before; the earliest predicted completion was {soonest} ms away."
+        "{refused} slot requests were refused before; the earliest predicted completion was {earliest} ms away."
     ))
 }
 
 /// Returns the earliest completion that a node without a slot in time predicted, in milliseconds from its refusal.
-fn find_soonest(lines: &RequestLines<'_>) -> Option<u64> {
+fn find_earliest_completion(lines: &RequestLines<'_>) -> Option<u64> {
     let predictions = lines.returned.iter().map(|line| line.number("finish_ms"));
     let logged_minimum = lines.end.map(|end| end.number("soonest_ms"));
     predictions
@@ -282,11 +287,11 @@
         end.number("target_ms")
     )];
     causes.extend(explain_slowest(lines, names));
-    causes.extend(list_unreachable(lines, names));
+    causes.extend(explain_unreachable(lines, names));
     causes
 }
 
-fn describe_slow(line: &LogLine) -> Option<String> {
+fn explain_slow_execution(line: &LogLine) -> Option<String> {
     let slowdown = line.number("pace_percent");
     if slowdown >= SLOW_VM_PERCENT {
         return Some(format!(
@@ -313,7 +318,7 @@
         .any(|change| change.line.number == number && change.line.node == *node)
 }
 
-fn list_unreachable(lines: &RequestLines<'_>, names: &NodeNames) -> Vec<String> {
+fn explain_unreachable(lines: &RequestLines<'_>, names: &NodeNames) -> Vec<String> {
     let unsent = lines
         .returned
         .iter()
--- a/src/log_reading/late_cause.rs
+++ b/src/log_reading/late_cause.rs
@@ -37,7 +37,7 @@
         if call_ms.is_some_and(|call_ms| took_most_of_time(call_ms, end)) {
             return Self::WaitedForCall;
         }
-        // The line on the answered attempt may have been suppressed. The other attempts alone would appear to have
+        // The line on the answered attempt may have been dropped. The other attempts alone would appear to have
         // taken all the time.
         if !lines.returned.iter().any(|line| is_answered(line)) {
             return Self::NotLogged;
--- a/src/log_reading/line.rs
+++ b/src/log_reading/line.rs
@@ -15,7 +15,7 @@
     pub const ATTEMPT_EXECUTED: u16 = 803;
     /// A retry was not made because the retry budget was exhausted.
     pub const RETRY_SUPPRESSED: u16 = 804;
-    /// The node suppressed lines because it would have exceeded its rate limit for log lines.
+    /// The node dropped log lines because of its rate limit.
     pub const LINES_DROPPED: u16 = 805;
     /// Lowest number of the events that report a change of a node's state or of what it knows of others.
     pub const FIRST_STATE_CHANGE: u16 = 811;
@@ -33,11 +33,11 @@
     pub const ZONE_EVACUATED: u16 = 836;
     /// An evacuated availability zone was restored.
     pub const ZONE_RESTORED: u16 = 837;
-    /// The process was started.
+    /// The node began to serve.
     pub const NODE_STARTED: u16 = 851;
-    /// The process was asked to stop.
+    /// The node was asked to stop.
     pub const STOP_REQUESTED: u16 = 852;
-    /// The process ended after a graceful stop.
+    /// The node stopped.
     pub const NODE_STOPPED: u16 = 853;
 }
 
--- a/src/log_reading/misses.rs
+++ b/src/log_reading/misses.rs
@@ -35,7 +35,7 @@
     pub sampling: Sampling,
     /// Requests for which an executing node logged an attempt, but no entry node logged the end.
     pub without_end: usize,
-    /// Important lines that nodes suppressed because of their rate limits. Suppressed ordinary lines are not counted.
+    /// Important lines that nodes dropped because of their rate limits. Dropped ordinary lines are not counted.
     pub dropped_lines: u64,
     /// Lines that nodes wrote and the input lacks, computed from gaps in their sequence numbers.
     pub missing_lines: u64,
@@ -52,7 +52,7 @@
 pub struct MissWindow {
     /// Start of the window on the common clock of all nodes, as an RFC 3339 timestamp.
     pub from: String,
-    /// Important lines that nodes reported as suppressed during the window.
+    /// Important lines that nodes reported as dropped during the window.
     pub dropped_lines: u64,
     /// Requests of all classes.
     pub total: Breakdown,
--- a/src/log_reading/misses/breakdown.rs
+++ b/src/log_reading/misses/breakdown.rs
@@ -56,7 +56,7 @@
     pub missed_lines: u64,
     /// Estimated share of requests that were served on time; none without requests that count in it.
     pub on_time_share_estimate: Option<f64>,
-    /// Lower and upper limit of that share, from the size of the sample. Suppressed lines are not taken into account.
+    /// Lower and upper limit of that share, from the size of the sample. Dropped lines are not taken into account.
     pub on_time_share_range: Option<(f64, f64)>,
     /// Outcomes and causes, the one with the most logged requests first.
     pub kinds: Vec<KindCount>,
--- a/src/log_reading/request_trace.rs
+++ b/src/log_reading/request_trace.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     log_reading::{
-        cause::find_causes,
+        cause::explain_outcome,
         description::{NodeNames, describe_line},
         incarnations::NodeIncarnation,
         late_cause::took_most_of_time,
@@ -92,7 +92,7 @@
         event: timed.line.number,
         text: describe_line(&timed.line, &names),
     };
-    let mut causes = find_causes(&lines, &names);
+    let mut causes = explain_outcome(&lines, &names);
     causes.extend(find_slowest_call(&lines, &calls));
     let mut steps: Vec<TraceStep> = own_lines.iter().map(step).collect();
     steps.sort_by(|one, other| one.at_ms.total_cmp(&other.at_ms));
--- a/src/log_reading/summary.rs
+++ b/src/log_reading/summary.rs
@@ -34,7 +34,7 @@
     pub nodes: BTreeMap<NodeName, usize>,
     /// Number of log lines.
     pub lines: usize,
-    /// Number of lines that nodes suppressed because they would have exceeded their rate limits for log lines.
+    /// Number of lines that nodes dropped because of their rate limits.
     pub dropped: u64,
     /// Time from the first line to the last, in seconds.
     pub seconds: f64,
@@ -121,7 +121,7 @@
         let incarnations: usize = self.nodes.values().sum();
         writeln!(
             f,
-            "{} lines of {} nodes ({incarnations} incarnations) over {:.1} s; {} more were suppressed by their nodes",
+            "{} lines of {} nodes ({incarnations} incarnations) over {:.1} s; {} more were dropped by their nodes",
             self.lines,
             self.nodes.len(),
             self.seconds,
--- a/tests/integration/command_line.rs
+++ b/tests/integration/command_line.rs
@@ -335,7 +335,7 @@
          \"node\":\"n1\",\"seq\":1,\"up_ms\":5,\"request\":\"r1\",\"end\":{\"refused\":\"no_upstream\"}}\n",
     );
     let from_file = run(&["explain", "r1", log.name()]);
-    assert!(decode_text(&from_file.stdout).contains("n1 knew no configuration yet"));
+    assert!(decode_text(&from_file.stdout).contains("n1 had no configuration yet"));
     let mut command = Command::new(TOOL);
     command
         .args(["logs"])
--- a/tests/integration/log_causes.rs
+++ b/tests/integration/log_causes.rs
@@ -137,7 +137,7 @@
     let none = "{\"refused\":\"no_upstream\"}";
     let members = ended(none, 0, "").replace("\"version\":3", "\"version\":0");
     let trace = trace(&[line("n1", (1_010, 10), 2, 801, &members)]);
-    assert_cause(&trace, "n1 knew no configuration yet");
+    assert_cause(&trace, "n1 had no configuration yet");
 }
 
 #[test]
