--- a/src/coordination/placement.rs
+++ b/src/coordination/placement.rs
@@ -16,7 +16,7 @@
 const MAX_LOAD_AGE: Duration = Duration::from_secs(1);
 
 /// Added to the cost factor of 1 if all requests fail at an upstream and none at the other upstreams of the service.
-const FAILURE_COST: f64 = 8.0;
+const FAILURE_PENALTY: f64 = 8.0;
 
 /// Time without a response after which the cost of a node starts to rise, and the further time after which the cost has doubled. A
 /// node that has stopped responding is asked last even before it counts as unreachable.
@@ -96,8 +96,8 @@
     if Mechanism::FailurePenalty.is_disabled() {
         return busy / limit * (1.0 + (slowdown - 1.0) * weight);
     }
-    let failing = 1.0 + FAILURE_COST * f64::from(failures) / 100.0;
-    busy / limit * (1.0 + (slowdown - 1.0) * weight) * failing
+    let failure_factor = 1.0 + FAILURE_PENALTY * f64::from(failures) / 100.0;
+    busy / limit * (1.0 + (slowdown - 1.0) * weight) * failure_factor
 }
 
 /// Factor by which the cost of a node rises while it doesn't respond.
--- a/src/protocol/operator_views.rs
+++ b/src/protocol/operator_views.rs
@@ -88,7 +88,8 @@
     /// Upper limit, in milliseconds, of the histogram bucket that holds the median latency of the answers; `None` if
     /// there are no answers or the latency is above the last bucket.
     pub p50_ms: Option<u64>,
-    /// The same for the 99th percentile of the latency.
+    /// Upper limit, in milliseconds, of the histogram bucket that holds the 99th percentile of the latency; `None` as for
+    /// `p50_ms`.
     pub p99_ms: Option<u64>,
 }
 
--- a/src/proxy/core.rs
+++ b/src/proxy/core.rs
@@ -204,7 +204,7 @@
         is_newer
     }
 
-    /// Records a record of another node. Returns whether it changed what was known; a record of this node never does.
+    /// Applies a record of another node. Returns whether it changed what was known; a record of this node never does.
     pub fn apply_record(&self, stored: StoredRecord, source: StateSource) -> bool {
         if stored.record.address == self.settings.peer_address {
             return false;
@@ -224,7 +224,7 @@
         is_changed
     }
 
-    /// Records that the node records have been read from the store, and wakes a task that waits for them.
+    /// Marks the node records as read from the store, and wakes the task that waits for them.
     pub fn mark_node_records_read(&self) {
         self.node_records_read.set(true);
         self.node_records_loaded.notify_one();
--- a/src/proxy/entry.rs
+++ b/src/proxy/entry.rs
@@ -87,17 +87,17 @@
 
     /// Takes the limits for idle time and body size from the configuration in force. Closing a connection within the idle time that
     /// the configuration allows clients would abort requests that are in transit.
-    fn limits(&self, started_with: CallerLimits) -> CallerLimits {
+    fn limits(&self, initial: CallerLimits) -> CallerLimits {
         let Some(routes) = self.core.routes() else {
-            return started_with;
+            return initial;
         };
         let limits = routes.table().limits;
         CallerLimits {
-            head_timeout: started_with
+            head_timeout: initial
                 .head_timeout
                 .max(limits.idle_timeout * IDLE_TIMEOUT_FACTOR),
-            max_body_bytes: limits.max_body_bytes.min(started_with.max_body_bytes),
-            ..started_with
+            max_body_bytes: limits.max_body_bytes.min(initial.max_body_bytes),
+            ..initial
         }
     }
 }
--- a/src/proxy/evacuating.rs
+++ b/src/proxy/evacuating.rs
@@ -30,7 +30,7 @@
 use tokio::task::spawn_local;
 
 /// Attempts to append an operator's change to the store.
-const STORE_ATTEMPTS: u32 = 5;
+const MAX_STORE_ATTEMPTS: u32 = 5;
 /// Pause after a failed attempt.
 const STORE_RETRY_PAUSE: Duration = Duration::from_millis(200);
 
@@ -153,7 +153,7 @@
         return Err(EvacuationError::UnknownZone);
     }
     let mut reason = String::new();
-    for _ in 0..STORE_ATTEMPTS {
+    for _ in 0..MAX_STORE_ATTEMPTS {
         // Idempotent: an unanswered append may have been stored.
         match store.append_evacuation(zone, evacuated).await {
             Ok(()) => return Ok(describe_result(core, zone, evacuated)),
--- a/src/proxy/events.rs
+++ b/src/proxy/events.rs
@@ -242,11 +242,11 @@
     },
     /// A newer routing table came into force.
     TableInForce {
-        /// Its version.
+        /// Version of the table.
         version: u64,
         /// Version that was in force before; 0 if none was.
         before: u64,
-        /// Number of its routes.
+        /// Number of routes in the table.
         routes: usize,
         /// Where the table came from.
         source: &'static str,
--- a/src/proxy/events/lines.rs
+++ b/src/proxy/events/lines.rs
@@ -43,7 +43,7 @@
 pub struct LineWriter {
     node: NodeName,
     started: Timestamp,
-    rules: LogSettings,
+    settings: LogSettings,
     next_seq: Cell<u64>,
     important_limit: RefCell<RateLimit>,
     ordinary_limit: RefCell<RateLimit>,
@@ -54,11 +54,11 @@
 impl LineWriter {
     /// Creates the writer of a node that starts at `started`.
     #[must_use]
-    pub fn new(node: NodeName, rules: LogSettings, started: Timestamp) -> Self {
+    pub fn new(node: NodeName, settings: LogSettings, started: Timestamp) -> Self {
         Self {
             node,
             started,
-            rules,
+            settings,
             next_seq: Cell::new(1),
             important_limit: RefCell::new(RateLimit::new(
                 IMPORTANT_LINE_RATE.0,
@@ -114,8 +114,8 @@
     fn is_sampled(&self, severity: Severity, event: &ProxyEvent) -> bool {
         let one_in = match severity {
             Severity::Important => 1,
-            Severity::Late => self.rules.late_one_in(),
-            Severity::Ordinary => self.rules.ordinary_one_in,
+            Severity::Late => self.settings.late_one_in(),
+            Severity::Ordinary => self.settings.ordinary_one_in,
         };
         event.request().is_none_or(|request| {
             let mut hasher = DefaultHasher::new();
@@ -172,7 +172,7 @@
 
     /// Keeps a line for operators' tools, in the form in which it is written to standard output.
     fn keep(&self, seq: u64, level: Level, (number, name): (u16, &str), fields: &str) {
-        if self.rules.kept_lines == 0 {
+        if self.settings.kept_lines == 0 {
             return;
         }
         let mut time = String::new();
@@ -183,7 +183,7 @@
             "{{\"time\":\"{time}\",\"level\":\"{level}\",\"event\":{number},\"name\":\"{name}\",{members}"
         );
         let mut kept_lines = self.kept_lines.borrow_mut();
-        if kept_lines.len() >= self.rules.kept_lines {
+        if kept_lines.len() >= self.settings.kept_lines {
             kept_lines.pop_front();
         }
         kept_lines.push_back((seq, line));
--- a/src/proxy/graceful_stop.rs
+++ b/src/proxy/graceful_stop.rs
@@ -22,7 +22,7 @@
 
 /// Consecutive checks that must find nothing in progress. A request counts as ended when its response is passed to the connection;
 /// one check later the response has been written.
-const IDLE_CHECKS: u32 = 3;
+const REQUIRED_IDLE_CHECKS: u32 = 3;
 
 /// Whether the upstream may get a new request that ends within `time_left`. A request that can't end before the process is killed
 /// would be aborted.
@@ -46,7 +46,7 @@
     });
     let latest = since + core.limits().shutdown_grace.saturating_sub(KILL_MARGIN);
     let mut idle_checks = 0;
-    while idle_checks < IDLE_CHECKS && core.timers.now() < latest {
+    while idle_checks < REQUIRED_IDLE_CHECKS && core.timers.now() < latest {
         let _ = core.timers.after(CHECK_INTERVAL).recv_async().await;
         idle_checks = if has_finished(core, since) {
             idle_checks + 1
--- a/src/state/class_bytes.rs
+++ b/src/state/class_bytes.rs
@@ -6,7 +6,7 @@
 /// Assumed size of a request and its response before the first request of a class has ended.
 const INITIAL_BYTES: f64 = 1_500.0;
 /// Weight of the latest size in the exponential moving average.
-const WEIGHT: f64 = 0.1;
+const NEWEST_WEIGHT: f64 = 0.1;
 
 /// By class: exponential moving average of the body bytes of a request and its response, without headers.
 #[derive(Clone, Debug, Default)]
@@ -24,6 +24,6 @@
         #[expect(clippy::cast_precision_loss, reason = "far below 2^52")]
         let bytes = bytes as f64;
         let average = self.0.entry(class.clone()).or_insert(bytes);
-        *average += (bytes - *average) * WEIGHT;
+        *average += (bytes - *average) * NEWEST_WEIGHT;
     }
 }
--- a/src/state/failure_rate.rs
+++ b/src/state/failure_rate.rs
@@ -1,7 +1,7 @@
 //! Share of an upstream's recent requests that failed.
 
 /// Weight of the latest outcome in the exponential moving average, so that about the last 10 outcomes count.
-const WEIGHT: f64 = 0.1;
+const NEWEST_WEIGHT: f64 = 0.1;
 
 /// Exponential moving average of failures, from 0 (none failed) to 1 (all failed).
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -11,7 +11,7 @@
     /// Records the outcome of a request.
     pub fn observe(&mut self, failed: bool) {
         let value = f64::from(u8::from(failed));
-        self.0 += (value - self.0) * WEIGHT;
+        self.0 += (value - self.0) * NEWEST_WEIGHT;
     }
 
     /// The failure rate in percent, rounded.
--- a/src/state/service_times.rs
+++ b/src/state/service_times.rs
@@ -6,7 +6,7 @@
 /// Assumed service time of a class before its first request has ended at this upstream.
 const INITIAL_TIME: Duration = Duration::from_millis(100);
 /// Weight of the latest time in the exponential moving average.
-const WEIGHT: f64 = 0.1;
+const NEWEST_WEIGHT: f64 = 0.1;
 /// Weight of each of the first times. It is larger so that [`INITIAL_TIME`] soon has no influence.
 const EARLY_WEIGHT: f64 = 0.4;
 /// Number of times that get [`EARLY_WEIGHT`].
@@ -41,7 +41,7 @@
         let weight = if entry.1 < EARLY_COUNT {
             EARLY_WEIGHT
         } else {
-            WEIGHT
+            NEWEST_WEIGHT
         };
         entry.0 += (full_speed_seconds - entry.0) * weight;
         entry.1 = entry.1.saturating_add(1);
--- a/src/state/table_change.rs
+++ b/src/state/table_change.rs
@@ -26,7 +26,7 @@
 /// Why a change can't be applied. The complete table can be requested instead.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum ChangeError {
-    /// It is based on this version, which isn't in force on this node.
+    /// The change is based on this version, which isn't in force on this node.
     #[error("the change is based on version {0}, which is not in force on this node")]
     BaseMismatch(u64),
     /// A route refers to an entry, by this index, that the list of route settings doesn't have.
