--- a/src/local_mesh.rs
+++ b/src/local_mesh.rs
@@ -1,5 +1,5 @@
-//! Nodes, stand-in upstreams and a store in one process on loopback: for `dev`, benchmarks and tests. The
-//! nodes are the real ones.
+//! A whole mesh in one process, on the loopback address: real nodes, stand-in upstreams and a store in memory. The
+//! `dev` command, benchmarks and tests use it.
 
 pub mod audit;
 pub mod client;
@@ -31,33 +31,33 @@
 /// A local mesh could not be started.
 #[derive(Debug, Error)]
 pub enum LocalMeshError {
-    /// An address could not be bound, or a thread not be started.
+    /// An address could not be bound, or a thread could not be started.
     #[error("can't start a node: {0}")]
     Start(#[from] io::Error),
-    /// The operators' server of a node could not be started.
+    /// The server for operators' tools could not be started.
     #[error(transparent)]
     Operators(#[from] OperatorServerError),
-    /// A node ended while it was starting.
+    /// The thread of a node ended before the node was listening.
     #[error("a node ended while it was starting")]
     Ended,
 }
 
-/// A running local mesh. Dropping it ends all of it.
+/// A running local mesh. Dropping it ends all nodes and upstreams at once.
 pub struct LocalMesh {
-    /// The nodes, in the order of the plan.
+    /// Nodes in the order of the plan.
     pub nodes: Vec<LocalNode>,
-    /// The store.
+    /// Store that all nodes share.
     pub store: LocalStore,
 }
 
 impl LocalMesh {
-    /// Starts upstreams and nodes, with the plan's configuration in the store.
+    /// Stores the configuration of the plan, then starts the nodes and their upstreams.
     ///
     /// # Errors
-    /// If a port can't be bound or a thread not be started.
+    /// See [`LocalMeshError`].
     pub fn start(plan: &MeshPlan) -> Result<Self, LocalMeshError> {
         let store = LocalStore::default();
-        store.publish_initial(&describe_first(plan));
+        store.publish_initial(&build_initial_record(plan));
         let nodes = plan.nodes.iter();
         let nodes = nodes.map(|node| start_node(node, &store));
         Ok(Self {
@@ -66,7 +66,7 @@
         })
     }
 
-    /// Operator addresses of all nodes.
+    /// Returns the addresses of all nodes for operators' tools.
     #[must_use]
     pub fn operator_addresses(&self) -> Vec<SocketAddr> {
         self.nodes
@@ -75,13 +75,13 @@
             .collect()
     }
 
-    /// Addresses of all nodes for callers.
+    /// Returns the addresses of all nodes for callers.
     #[must_use]
     pub fn caller_addresses(&self) -> Vec<SocketAddr> {
         self.nodes.iter().map(|node| node.client_address).collect()
     }
 
-    /// Questions to upstreams for their load so far.
+    /// Returns the number of load probes that the nodes have sent to their upstreams so far.
     #[must_use]
     pub fn count_probes(&self) -> u64 {
         let statuses = self.operator_addresses().into_iter();
@@ -92,13 +92,13 @@
 }
 
 impl Drop for LocalMesh {
-    /// The operators' servers take up to a second to end: together, not one after the other.
+    /// Stops the servers for operators' tools in parallel, because each takes up to a second to end.
     fn drop(&mut self) {
         self.nodes.iter().for_each(LocalNode::request_server_stop);
     }
 }
 
-fn describe_first(plan: &MeshPlan) -> PublishedRecord {
+fn build_initial_record(plan: &MeshPlan) -> PublishedRecord {
     PublishedRecord {
         entry: PublicationEntry {
             id: Uuid::new_v4(),
--- a/src/local_mesh/client.rs
+++ b/src/local_mesh/client.rs
@@ -1,4 +1,4 @@
-//! A caller: an HTTP client with kept connections that reports outcomes as callers see them.
+//! An HTTP client with persistent connections that reports outcomes as callers see them.
 
 use bytes::Bytes;
 use http::{HeaderMap, HeaderValue, Method, Request, StatusCode, header::HOST};
@@ -8,54 +8,54 @@
 use std::{cell::RefCell, net::SocketAddr, rc::Rc};
 use tokio::net::TcpStream;
 
-/// A request as a caller builds it.
+/// A request of a caller.
 #[derive(Clone, Debug)]
 pub struct CallerCall {
     /// HTTP method.
     pub method: Method,
     /// Path and query.
     pub target: String,
-    /// Headers.
+    /// Request headers.
     pub headers: HeaderMap,
-    /// Body.
+    /// Request body.
     pub body: Bytes,
 }
 
-/// A whole reply as a caller sees it.
+/// A complete answer as a caller receives it.
 #[derive(Clone, Debug)]
 pub struct CallerAnswer {
     /// HTTP status.
     pub status: StatusCode,
-    /// Headers.
+    /// Response headers.
     pub headers: HeaderMap,
-    /// Body.
+    /// Response body.
     pub body: Bytes,
 }
 
-/// Why there is no reply.
+/// Why a call got no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallFailure {
     /// No byte of the call was written.
     NotSent,
-    /// The connection ended before a whole reply.
+    /// The connection ended before the answer was complete.
     Disconnected,
 }
 
-/// The outcome that a caller was told.
+/// Outcome of a call as the node reported it to the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum ReportedOutcome {
-    /// An upstream's answer.
+    /// An upstream ran the call and answered.
     Answered,
-    /// It did not run.
+    /// The call did not run.
     NotRun,
-    /// It may have run, or there was no at all, which a caller has to take the same way.
+    /// The call may have run. A call without an answer counts as unknown too.
     Unknown,
-    /// The request itself was refused.
+    /// The request is not valid, or no route matches it.
     Rejected,
 }
 
 impl CallerAnswer {
-    /// The outcome that the status tells.
+    /// Derives the outcome from the HTTP status.
     #[must_use]
     pub fn outcome(&self) -> ReportedOutcome {
         match self.status {
@@ -68,7 +68,7 @@
         }
     }
 
-    /// What the node says of an outcome other than `answered`.
+    /// Returns the reason that the node gives in the body for an outcome other than `Answered`.
     #[must_use]
     pub fn reason(&self) -> Option<String> {
         let body: serde_json::Value = serde_json::from_slice(&self.body).ok()?;
@@ -76,7 +76,7 @@
     }
 }
 
-/// Kept connections to one address. Must be used within a `LocalSet`.
+/// A client with persistent connections to one address. Must be used within a `LocalSet`.
 #[derive(Clone)]
 pub struct CallerClient {
     address: SocketAddr,
@@ -84,7 +84,7 @@
 }
 
 impl CallerClient {
-    /// A client without connections.
+    /// Creates a client without connections.
     #[must_use]
     pub fn new(address: SocketAddr) -> Self {
         Self {
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Sends a call and reads the whole reply.
+    /// Sends a call and reads the complete answer.
     ///
     /// # Errors
     /// See [`CallFailure`].
@@ -129,8 +129,8 @@
 
     async fn connect(&self) -> Option<SendRequest<Full<Bytes>>> {
         loop {
-            let kept = self.idle.borrow_mut().pop();
-            let Some(mut tx) = kept else { break };
+            let idle = self.idle.borrow_mut().pop();
+            let Some(mut tx) = idle else { break };
             if tx.ready().await.is_ok() {
                 return Some(tx);
             }
--- a/src/local_mesh/load.rs
+++ b/src/local_mesh/load.rs
@@ -1,4 +1,5 @@
-//! A seeded open-loop load: calls start at their scheduled time, whether or not earlier ones ended.
+//! An open-loop load generator with a seed: calls start at their scheduled times, whether or not earlier calls have
+//! ended.
 
 use crate::{
     local_mesh::client::{CallerAnswer, CallerCall, CallerClient, ReportedOutcome},
@@ -22,59 +23,59 @@
 /// One kind of call in a load.
 #[derive(Clone, Debug)]
 pub struct CallKind {
-    /// The class that the configuration should give it.
+    /// Class that the configuration assigns to the call.
     pub class: ClassName,
     /// Value of the Host header.
     pub host: ArcStr,
     /// HTTP method.
     pub method: Method,
-    /// Path.
+    /// Path, and query if there is one.
     pub path: String,
-    /// Whether running it twice does no harm.
+    /// Whether the call may be run more than once.
     pub idempotent: bool,
-    /// Target time.
+    /// Latency target.
     pub target: Duration,
-    /// Relative frequency.
+    /// Frequency relative to the other kinds.
     pub weight: u32,
 }
 
-/// A load.
+/// Description of a load.
 #[derive(Clone, Debug)]
 pub struct LoadPlan {
-    /// Kinds of calls, at least one.
+    /// Kinds of calls; at least one.
     pub kinds: Vec<CallKind>,
-    /// Where callers connect; each call picks one at random.
+    /// Addresses of nodes for callers. Each call uses one at random.
     pub node_addresses: Vec<SocketAddr>,
-    /// Calls a second.
+    /// Average number of calls per second.
     pub calls_per_second: f64,
-    /// How long calls are started.
+    /// Time during which calls are started.
     pub duration: Duration,
-    /// Seed of the choice of kind, entry and time.
+    /// Seed of the random choice of kinds, nodes and start times.
     pub seed: u64,
 }
 
-/// One call as its caller saw it.
+/// Result of one call as its caller saw it.
 #[derive(Clone, Debug)]
 pub struct CallRecord {
-    /// Position in [`LoadPlan::kinds`].
+    /// Index in [`LoadPlan::kinds`].
     pub kind: usize,
-    /// Unique in this process; upstreams record it as part of the path.
+    /// Random id of the call. It is sent as the query parameter `mark`, which upstreams record with the path.
     pub call_id: Uuid,
-    /// Start, since the load's start.
+    /// Scheduled start, since the start of the load.
     pub scheduled_start: Duration,
-    /// Time until the reply was complete, from the scheduled start.
+    /// Time from the scheduled start until the answer was complete or the call failed.
     pub latency: Duration,
-    /// What the caller was told.
+    /// Outcome that was reported to the caller.
     pub outcome: ReportedOutcome,
-    /// HTTP status; 0 if there was no reply.
+    /// HTTP status; 0 if there was no answer.
     pub status: u16,
-    /// Why not run, or why unknown.
+    /// Reason that the node gave for an outcome other than `Answered`.
     pub reason: Option<String>,
-    /// Whether an answer was the one to this very call.
+    /// False if the call got the answer of another call or an incomplete one. True if there was no answer.
     pub answer_matches: bool,
 }
 
-/// Runs a load on a thread of its own and returns every call's record.
+/// Runs a load on its own thread. Returns the records of all calls once the last one has ended.
 #[must_use]
 pub fn run_load(plan: &LoadPlan) -> Vec<CallRecord> {
     let plan = plan.clone();
@@ -83,14 +84,14 @@
             .enable_all()
             .build();
         match runtime {
-            Ok(runtime) => LocalSet::new().block_on(&runtime, start_calls(plan)),
+            Ok(runtime) => LocalSet::new().block_on(&runtime, send_calls(plan)),
             Err(_) => Vec::new(),
         }
     });
     worker.join().unwrap_or_default()
 }
 
-async fn start_calls(plan: LoadPlan) -> Vec<CallRecord> {
+async fn send_calls(plan: LoadPlan) -> Vec<CallRecord> {
     let mut rng = StdRng::seed_from_u64(plan.seed);
     let clients: Vec<CallerClient> = plan
         .node_addresses
@@ -99,28 +100,28 @@
         .map(CallerClient::new)
         .collect();
     let records = Rc::new(RefCell::new(Vec::new()));
-    let began = Instant::now();
-    let mut due = Duration::ZERO;
+    let load_start = Instant::now();
+    let mut scheduled_start = Duration::ZERO;
     let mut calls = Vec::new();
-    while due < plan.duration {
-        tokio::time::sleep_until((began + due).into()).await;
+    while scheduled_start < plan.duration {
+        tokio::time::sleep_until((load_start + scheduled_start).into()).await;
         let kind = pick_kind(&plan.kinds, &mut rng);
         let client = clients[rng.random_range(0..clients.len())].clone();
-        let call = OneCall {
+        let call = ScheduledCall {
             kind,
-            mark: Uuid::from_u128(rng.random()),
-            began,
-            due,
+            call_id: Uuid::from_u128(rng.random()),
+            load_start,
+            scheduled_start,
         };
         let records = Rc::clone(&records);
-        let spec = plan.kinds[kind].clone();
+        let call_kind = plan.kinds[kind].clone();
         calls.push(spawn_local(async move {
-            let record = call.run(&spec, &client).await;
+            let record = call.send(&call_kind, &client).await;
             records.borrow_mut().push(record);
         }));
-        // Exponential gaps: callers do not agree with one another on when to call.
-        let gap = -(1.0 - rng.random::<f64>()).ln() / plan.calls_per_second;
-        due += Duration::from_secs_f64(gap);
+        // Independent callers make a Poisson process, which has exponentially distributed intervals.
+        let interval = -(1.0 - rng.random::<f64>()).ln() / plan.calls_per_second;
+        scheduled_start += Duration::from_secs_f64(interval);
     }
     for call in calls {
         let _ = call.await;
@@ -130,66 +131,78 @@
 
 fn pick_kind(kinds: &[CallKind], rng: &mut StdRng) -> usize {
     let total: u32 = kinds.iter().map(|kind| kind.weight).sum();
-    let mut left = rng.random_range(0..total.max(1));
-    let fits = |kind: &CallKind| {
-        let fits = left < kind.weight;
-        left = left.saturating_sub(kind.weight);
-        fits
+    let mut remaining_weight = rng.random_range(0..total.max(1));
+    let is_picked = |kind: &CallKind| {
+        let is_picked = remaining_weight < kind.weight;
+        remaining_weight = remaining_weight.saturating_sub(kind.weight);
+        is_picked
     };
-    kinds.iter().position(fits).unwrap_or(0)
+    kinds.iter().position(is_picked).unwrap_or(0)
 }
 
-struct OneCall {
+/// A call that is due. `kind` is an index in [`LoadPlan::kinds`].
+struct ScheduledCall {
     kind: usize,
-    mark: Uuid,
-    began: Instant,
-    due: Duration,
+    call_id: Uuid,
+    load_start: Instant,
+    scheduled_start: Duration,
 }
 
-impl OneCall {
-    async fn run(self, spec: &CallKind, client: &CallerClient) -> CallRecord {
-        let answer = client.call(self.build(spec)).await.ok();
-        let took = self.began.elapsed().saturating_sub(self.due);
-        let mark = self.mark.to_string();
-        let answered = |outcome| outcome == ReportedOutcome::Answered;
+impl ScheduledCall {
+    async fn send(self, call_kind: &CallKind, client: &CallerClient) -> CallRecord {
+        let answer = client.call(self.build_call(call_kind)).await.ok();
+        let latency = self
+            .load_start
+            .elapsed()
+            .saturating_sub(self.scheduled_start);
+        let call_id = self.call_id.to_string();
+        let is_answered = |outcome| outcome == ReportedOutcome::Answered;
         let outcome = answer
             .as_ref()
             .map_or(ReportedOutcome::Unknown, CallerAnswer::outcome);
-        let own_answer = answer.as_ref().is_some_and(|answer| {
-            !answered(outcome) || String::from_utf8_lossy(&answer.body).contains(&mark)
+        let answer_matches = answer.as_ref().is_some_and(|answer| {
+            !is_answered(outcome) || String::from_utf8_lossy(&answer.body).contains(&call_id)
         });
         CallRecord {
             kind: self.kind,
-            call_id: self.mark,
-            scheduled_start: self.due,
-            latency: took,
+            call_id: self.call_id,
+            scheduled_start: self.scheduled_start,
+            latency,
             outcome,
             status: answer.as_ref().map_or(0, |answer| answer.status.as_u16()),
             reason: answer.as_ref().and_then(CallerAnswer::reason),
-            answer_matches: own_answer || answer.is_none(),
+            answer_matches: answer_matches || answer.is_none(),
         }
     }
 
-    fn build(&self, spec: &CallKind) -> CallerCall {
+    fn build_call(&self, call_kind: &CallKind) -> CallerCall {
         let mut headers = HeaderMap::new();
-        let mark = self.mark.to_string();
-        put(&mut headers, HOST, &spec.host);
-        put(&mut headers, HeaderNames::default_names().request_id, &mark);
-        let separator = if spec.path.contains('?') { '&' } else { '?' };
+        let call_id = self.call_id.to_string();
+        insert_header(&mut headers, HOST, &call_kind.host);
+        insert_header(
+            &mut headers,
+            HeaderNames::default_names().request_id,
+            &call_id,
+        );
+        let separator = if call_kind.path.contains('?') {
+            '&'
+        } else {
+            '?'
+        };
         CallerCall {
-            method: spec.method.clone(),
-            target: format!("{}{separator}mark={mark}", spec.path),
+            method: call_kind.method.clone(),
+            target: format!("{}{separator}mark={call_id}", call_kind.path),
             headers,
-            body: Bytes::from(if spec.method == Method::GET {
+            body: Bytes::from(if call_kind.method == Method::GET {
                 String::new()
             } else {
-                mark
+                call_id
             }),
         }
     }
 }
 
-fn put(headers: &mut HeaderMap, name: HeaderName, text: &str) {
+fn insert_header(headers: &mut HeaderMap, name: HeaderName, text: &str) {
     if let Ok(value) = HeaderValue::from_str(text) {
         headers.insert(name, value);
     }
--- a/src/local_mesh/node.rs
+++ b/src/local_mesh/node.rs
@@ -1,4 +1,4 @@
-//! One node with its upstream, on a thread of its own.
+//! A node with its upstream, both on one thread of their own.
 
 use crate::{
     coordination::{
@@ -35,21 +35,21 @@
 
 /// Any free port of the loopback address.
 const ANY_PORT: (Ipv4Addr, u16) = (Ipv4Addr::LOCALHOST, 0);
-/// Time for a planned stop. Clients of a local mesh end their requests within it.
-const GRACE: Duration = Duration::from_secs(6);
-/// Lines that a node keeps for operators' tools.
-const KEPT_LINES: usize = 5_000;
-/// Bounds on repeats as the users have them: a fifth of the requests, and 64 for all nodes together.
-const REPEATS: RetryBudgetSettings = RetryBudgetSettings {
+/// Time allowed for a graceful stop, within which clients of a local mesh end their requests.
+const SHUTDOWN_GRACE: Duration = Duration::from_secs(6);
+/// Number of log lines that a node keeps in memory for operators' tools.
+const KEPT_LOG_LINES: usize = 5_000;
+/// Retry budget as in the users' deployments: a fifth of the requests, and 64 more for all nodes together.
+const RETRY_BUDGET: RetryBudgetSettings = RetryBudgetSettings {
     ratio: 0.2,
     slack: 64.0,
     window: Duration::from_secs(10),
 };
-/// Questions a second to an upstream for its load, at the most.
+/// Maximum number of load probes to an upstream per second.
 const PROBES_PER_SECOND: f64 = 60.0;
 
-/// What stand-in upstreams of a local mesh call their headers: as [`HeaderNames::product`].
-const UPSTREAM_NAMES: UpstreamHeaderNames = UpstreamHeaderNames {
+/// Header names of the stand-in upstreams of a local mesh. They must equal [`HeaderNames::default_names`].
+const UPSTREAM_HEADER_NAMES: UpstreamHeaderNames = UpstreamHeaderNames {
     request_id: "x-request-id",
     target_instance: "x-target-instance",
     instance: "x-instance",
@@ -61,57 +61,57 @@
 
 /// A running node with its upstream. Dropping it ends both at once.
 pub struct LocalNode {
-    /// What it was started from.
+    /// Plan that the node was started from.
     pub plan: NodePlan,
-    /// Where callers connect.
+    /// Address of the node for callers.
     pub client_address: SocketAddr,
-    /// Where operators' tools connect.
+    /// Address of the node for operators' tools.
     pub operator_address: SocketAddr,
-    /// Where the upstream listens.
+    /// Address of the upstream.
     pub upstream_address: SocketAddr,
-    /// What the upstream ran.
+    /// Requests that the upstream has run.
     pub executions: ExecutionLog,
-    stop: Sender<Order>,
+    stop: Sender<StopMode>,
     server: Option<OperatorServer>,
     thread: Option<JoinHandle<()>>,
 }
 
-/// What a node's thread is told.
+/// How a node ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Order {
-    /// End as planned.
-    Stop,
-    /// End at once.
-    Kill,
+enum StopMode {
+    /// The node completes the requests in progress first.
+    Graceful,
+    /// The node ends at once, as in a crash.
+    Immediate,
 }
 
 impl LocalNode {
-    /// Its name.
+    /// Returns the name of the node.
     #[must_use]
     pub fn name(&self) -> &NodeName {
         &self.plan.name
     }
 
-    /// Stops it as planned and waits for its end.
+    /// Stops the node gracefully and waits until it has ended.
     pub fn stop(&mut self) {
-        self.end(Order::Stop);
+        self.end(StopMode::Graceful);
     }
 
-    /// Ends it as a crash would.
+    /// Ends the node and its upstream at once, as in a crash, and waits until they have ended.
     pub fn kill(&mut self) {
-        self.end(Order::Kill);
+        self.end(StopMode::Immediate);
     }
 
-    /// Tells the operators' server to end, without waiting for it.
+    /// Requests the server for operators' tools to stop, without waiting for its end.
     pub fn request_server_stop(&self) {
         if let Some(server) = &self.server {
             server.request_stop();
         }
     }
 
-    fn end(&mut self, order: Order) {
-        // The thread may have ended by itself; then there is nobody to tell.
-        let _ = self.stop.send(order);
+    fn end(&mut self, mode: StopMode) {
+        // Sending fails if the thread has already ended.
+        let _ = self.stop.send(mode);
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
         }
@@ -121,119 +121,129 @@
 
 impl Drop for LocalNode {
     fn drop(&mut self) {
-        self.end(Order::Kill);
+        self.end(StopMode::Immediate);
     }
 }
 
-/// What a node's thread tells once it listens.
-struct Started {
-    clients: SocketAddr,
-    operators: SocketAddr,
-    upstream: SocketAddr,
+/// Addresses and server that the thread of a node reports once the node is listening.
+struct StartedNode {
+    client_address: SocketAddr,
+    operator_address: SocketAddr,
+    upstream_address: SocketAddr,
     server: OperatorServer,
 }
 
-/// Starts a node and its upstream.
+/// Starts a node and its upstream on a new thread and waits until both are listening.
 ///
 /// # Errors
-/// If a port can't be bound or a thread not be started.
+/// See [`LocalMeshError`].
 pub fn start_node(plan: &NodePlan, store: &LocalStore) -> Result<LocalNode, LocalMeshError> {
-    let (stop, orders) = flume::unbounded();
+    let (stop, stop_requests) = flume::unbounded();
     let (tx, started) = flume::bounded(1);
-    let runs = ExecutionLog::default();
+    let executions = ExecutionLog::default();
     let setup = NodeSetup {
         plan: plan.clone(),
         store: store.clone(),
-        runs: ExecutionLog::clone(&runs),
+        executions: ExecutionLog::clone(&executions),
     };
     let name = plan.name.to_string();
     let thread = thread::Builder::new()
         .name(name)
-        .spawn(move || run_thread(setup, &tx, &orders))?;
+        .spawn(move || run_thread(setup, &tx, &stop_requests))?;
     let started = started.recv().map_err(|_| LocalMeshError::Ended)??;
     Ok(LocalNode {
         plan: plan.clone(),
-        client_address: started.clients,
-        operator_address: started.operators,
-        upstream_address: started.upstream,
-        executions: runs,
+        client_address: started.client_address,
+        operator_address: started.operator_address,
+        upstream_address: started.upstream_address,
+        executions,
         stop,
         server: Some(started.server),
         thread: Some(thread),
     })
 }
 
-/// What a node's thread starts from.
+/// Data that the thread of a node starts from.
 struct NodeSetup {
     plan: NodePlan,
     store: LocalStore,
-    runs: ExecutionLog,
+    executions: ExecutionLog,
 }
 
-type StartResult = Result<Started, LocalMeshError>;
+type StartResult = Result<StartedNode, LocalMeshError>;
 
-fn run_thread(setup: NodeSetup, started: &Sender<StartResult>, orders: &Receiver<Order>) {
+fn run_thread(setup: NodeSetup, started: &Sender<StartResult>, stop_requests: &Receiver<StopMode>) {
     let runtime = match Builder::new_current_thread().enable_all().build() {
         Ok(runtime) => runtime,
         Err(error) => {
-            // Whoever starts the node waits for this.
+            // The thread in `start_node` waits for this result.
             let _ = started.send(Err(error.into()));
             return;
         }
     };
-    LocalSet::new().block_on(&runtime, run_node(setup, started, orders));
+    LocalSet::new().block_on(&runtime, run_node(setup, started, stop_requests));
 }
 
-async fn run_node(setup: NodeSetup, started: &Sender<StartResult>, orders: &Receiver<Order>) {
+async fn run_node(
+    setup: NodeSetup,
+    started: &Sender<StartResult>,
+    stop_requests: &Receiver<StopMode>,
+) {
     let (stop, stopped) = flume::bounded(1);
     let timers = TimerService::system();
-    // NB: the thread of the timers would outlive a node that is killed.
-    let _ended = StopTimers(timers.clone());
-    let running = match launch(setup, stopped, &timers).await {
-        Ok((running, result)) => {
+    // Without the guard, the timer thread would keep running after an immediate end of the node.
+    let _timers_guard = TimersGuard(timers.clone());
+    let proxy_task = match start_proxy(setup, stopped, &timers).await {
+        Ok((proxy_task, result)) => {
             let _ = started.send(Ok(result));
-            running
+            proxy_task
         }
         Err(error) => {
             let _ = started.send(Err(error));
             return;
         }
     };
-    // The sender goes only with the handle, which sends an order before.
-    if orders.recv_async().await == Ok(Order::Stop) {
+    // `LocalNode` always sends a mode before it drops the sender.
+    if stop_requests.recv_async().await == Ok(StopMode::Graceful) {
         let _ = stop.send(());
-        let killed = async { while orders.recv_async().await == Ok(Order::Stop) {} };
+        let kill_requested =
+            async { while stop_requests.recv_async().await == Ok(StopMode::Graceful) {} };
         tokio::select! {
-            _ = running => {}
-            () = killed => {}
+            _ = proxy_task => {}
+            () = kill_requested => {}
         }
     }
 }
 
-/// Ends the thread of the timers when dropped.
-struct StopTimers(TimerService);
+/// Stops the timer thread when dropped.
+struct TimersGuard(TimerService);
 
-impl Drop for StopTimers {
+impl Drop for TimersGuard {
     fn drop(&mut self) {
         self.0.stop();
     }
 }
 
-async fn launch(
+/// Starts the upstream, the server for operators' tools and the node. Returns the task that ends with the node.
+async fn start_proxy(
     setup: NodeSetup,
     stopped: Receiver<()>,
     timers: &TimerService,
-) -> Result<(tokio::task::JoinHandle<()>, Started), LocalMeshError> {
-    let NodeSetup { plan, store, runs } = setup;
-    let upstream = StandInUpstream::start_with(describe_upstream(&plan, runs)).await?;
+) -> Result<(tokio::task::JoinHandle<()>, StartedNode), LocalMeshError> {
+    let NodeSetup {
+        plan,
+        store,
+        executions,
+    } = setup;
+    let upstream = StandInUpstream::start_with(build_upstream_settings(&plan, executions)).await?;
     let listeners = ProxyListeners {
         clients: TcpListener::bind(ANY_PORT).await?,
         peers: TcpListener::bind(ANY_PORT).await?,
     };
     let (requests_tx, requests) = flume::unbounded();
     let server = serve_operators(ANY_PORT.into(), LOCAL_TOKEN, requests_tx)?;
-    let settings = describe_node(&plan, &listeners, &upstream, server.address)?;
-    let (clients, upstream_address) = (settings.client_address, settings.upstream_address);
+    let settings = build_proxy_settings(&plan, &listeners, &upstream, server.address)?;
+    let (client_address, upstream_address) = (settings.client_address, settings.upstream_address);
     let core = ProxyCore::new(settings, timers.clone());
     let records = start_store_sync(&core, store.clone());
     spawn_local(answer_operators(
@@ -253,27 +263,27 @@
         warmup_left: Duration::ZERO,
         sequence: 1,
     };
-    let announced = core.clone();
-    spawn_local(async move { apply_announcement(&announced, announcement, &records).await });
-    let operators = server.address;
-    let running = spawn_local(async move {
+    let announcing_core = core.clone();
+    spawn_local(async move { apply_announcement(&announcing_core, announcement, &records).await });
+    let operator_address = server.address;
+    let proxy_task = spawn_local(async move {
         run_proxy(&core, listeners, &stopped).await;
-        // The upstream ends with its node.
+        // The upstream must keep running as long as its node.
         drop(upstream);
     });
-    let started = Started {
-        clients,
-        operators,
-        upstream: upstream_address,
+    let started = StartedNode {
+        client_address,
+        operator_address,
+        upstream_address,
         server,
     };
-    Ok((running, started))
+    Ok((proxy_task, started))
 }
 
-fn describe_upstream(plan: &NodePlan, executions: ExecutionLog) -> UpstreamSettings {
+fn build_upstream_settings(plan: &NodePlan, executions: ExecutionLog) -> UpstreamSettings {
     UpstreamSettings {
         instance: plan.name.to_string(),
-        names: UPSTREAM_NAMES,
+        names: UPSTREAM_HEADER_NAMES,
         slots: plan.slots,
         service_times: plan.service_times.clone(),
         seed: plan.seed,
@@ -283,11 +293,11 @@
     }
 }
 
-fn describe_node(
+fn build_proxy_settings(
     plan: &NodePlan,
     listeners: &ProxyListeners,
     upstream: &StandInUpstream,
-    operators: SocketAddr,
+    operator_address: SocketAddr,
 ) -> io::Result<ProxySettings> {
     Ok(ProxySettings {
         name: plan.name.clone(),
@@ -297,17 +307,17 @@
         upstream_address: upstream.address,
         service: plan.service.clone(),
         limits: NodeLimits {
-            retry_budget: REPEATS,
+            retry_budget: RETRY_BUDGET,
             probes_per_second: PROBES_PER_SECOND,
-            shutdown_grace: GRACE,
+            shutdown_grace: SHUTDOWN_GRACE,
             configuration_apply_timeout: DEFAULT_CONFIGURATION_APPLY_TIMEOUT,
             slow_start: SlowStartSettings::default(),
         },
         log: LogSettings {
             ordinary_one_in: 1,
-            kept_lines: KEPT_LINES,
+            kept_lines: KEPT_LOG_LINES,
         },
-        operator_address: Some(operators),
+        operator_address: Some(operator_address),
         first_start: false,
         headers: HeaderNames::default_names(),
     })
--- a/src/local_mesh/plan.rs
+++ b/src/local_mesh/plan.rs
@@ -1,4 +1,4 @@
-//! What a local mesh consists of.
+//! Plan of a local mesh: its nodes, upstreams and configuration.
 
 use crate::state::{
     configuration::Configuration,
@@ -6,49 +6,50 @@
 };
 use camphorturn_stand_ins::upstream::ServiceTime;
 
-/// One node with its upstream.
+/// A node with its upstream.
 #[derive(Clone, Debug)]
 pub struct NodePlan {
-    /// Name of both.
+    /// Name of the node and instance id of the upstream.
     pub name: NodeName,
     /// Service of the upstream.
     pub service: ServiceName,
     /// Availability zone.
     pub availability_zone: AvailabilityZoneName,
-    /// Requests the upstream runs at once.
+    /// Maximum number of requests that the upstream runs at the same time.
     pub slots: u16,
-    /// Seed of its service times.
+    /// Seed of the random service times of the upstream.
     pub seed: u64,
-    /// Service times by path.
+    /// Service times of the upstream by path.
     pub service_times: Vec<ServiceTime>,
 }
 
-/// A whole mesh.
+/// All nodes of a mesh and its first configuration.
 #[derive(Clone, Debug)]
 pub struct MeshPlan {
-    /// The configuration that is in force first.
+    /// Configuration that is in force at the start, as version 1.
     pub configuration: Configuration,
-    /// The nodes.
+    /// Nodes, each with its upstream.
     pub nodes: Vec<NodePlan>,
 }
 
-/// One service of a [`MeshPlan`], for building it.
+/// A service, from which [`NodePlan`]s are built.
 #[derive(Clone, Debug)]
 pub struct ServicePlan {
-    /// The service.
+    /// Name of the service.
     pub service: ServiceName,
-    /// Upstreams.
+    /// Number of upstreams.
     pub upstreams: usize,
-    /// Slots of each upstream.
+    /// Number of slots of each upstream.
     pub slots: u16,
-    /// Availability zones that the upstreams are spread over.
+    /// Availability zones to which the upstreams are assigned in turn.
     pub availability_zones: Vec<AvailabilityZoneName>,
-    /// Service times by path.
+    /// Service times of the upstreams by path.
     pub service_times: Vec<ServiceTime>,
 }
 
 impl ServicePlan {
-    /// The nodes of the service, named `SERVICE-1` and on.
+    /// Builds the nodes of the service, named `SERVICE-1`, `SERVICE-2` and so on. `seed` makes their service times
+    /// reproducible.
     #[must_use]
     pub fn build_nodes(&self, seed: u64) -> Vec<NodePlan> {
         let numbers = 1..=self.upstreams;
--- a/src/local_mesh/store.rs
+++ b/src/local_mesh/store.rs
@@ -1,4 +1,4 @@
-//! A store in memory, shared by the nodes of one process.
+//! An in-memory store that the nodes of one process share.
 
 use crate::{
     protocol::store::{
@@ -18,60 +18,60 @@
 };
 use tokio::{sync::Notify, time::timeout};
 
-/// Key of the configuration's record.
+/// Key of the records that hold configurations.
 const CONFIGURATION_KEY: &str = "configuration";
-/// Start of the keys of evacuated zones.
-const EVACUATION_KEY: &str = "evacuation/";
-/// Their value. The key says it all.
+/// Prefix of the keys of evacuated availability zones.
+const EVACUATION_KEY_PREFIX: &str = "evacuation/";
+/// Value of the records of evacuated zones. It is empty because the key names the zone.
 const EVACUATION_VALUE: &[u8] = b"{}";
 
-/// How the store treats calls.
+/// How the store responds to calls.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum StoreCondition {
-    /// It answers.
+    /// Calls succeed.
     #[default]
     Available,
-    /// It refuses every call.
+    /// Every call fails and changes nothing.
     Unavailable,
-    /// It does what it is asked, and no answer comes.
+    /// Writes are applied, but their answers are lost.
     LosesAnswers,
 }
 
 #[derive(Default)]
-struct Contents {
+struct StoreContents {
     condition: StoreCondition,
     topics: HashMap<StoreTopic, Vec<KeyedRecord>>,
 }
 
 #[derive(Default)]
-struct Shared {
-    contents: Mutex<Contents>,
+struct SharedStore {
+    contents: Mutex<StoreContents>,
     appended: Notify,
 }
 
-/// The store; clones share it.
+/// An in-memory store. Clones share the same records.
 #[derive(Clone, Default)]
-pub struct LocalStore(Arc<Shared>);
+pub struct LocalStore(Arc<SharedStore>);
 
 impl LocalStore {
-    /// Stores the configuration that a mesh starts with.
+    /// Stores the first configuration of a mesh.
     pub fn publish_initial(&self, record: &PublishedRecord) {
-        // The type holds nothing that JSON can't.
+        // Every value of this type can be written as JSON.
         let value = serde_json::to_vec(record).unwrap_or_default();
         self.append(StoreTopic::Configuration, CONFIGURATION_KEY, &value);
     }
 
-    /// How calls are treated from now on.
+    /// Sets how the store responds to later calls.
     pub fn set_condition(&self, condition: StoreCondition) {
         self.lock().condition = condition;
     }
 
-    fn lock(&self) -> MutexGuard<'_, Contents> {
+    fn lock(&self) -> MutexGuard<'_, StoreContents> {
         let contents = self.0.contents.lock();
         contents.unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn check(&self) -> Result<StoreCondition, StoreError> {
+    fn check_available(&self) -> Result<StoreCondition, StoreError> {
         match self.lock().condition {
             StoreCondition::Unavailable => Err(StoreError::NotDone("away".to_owned())),
             condition => Ok(condition),
@@ -79,11 +79,11 @@
     }
 
     fn append(&self, topic: StoreTopic, key: &str, value: &[u8]) {
-        self.append_at(topic, key, Some(value), None);
+        self.append_record(topic, key, Some(value), None);
     }
 
-    /// Appends if the topic ends at `expected_end`, or wherever it ends.
-    fn append_at(
+    /// Appends a record. If `expected_end` is given, appends only if the topic ends at that position.
+    fn append_record(
         &self,
         topic: StoreTopic,
         key: &str,
@@ -106,7 +106,7 @@
         ConditionalAppend::Stored
     }
 
-    fn list_from(&self, topic: StoreTopic, from: u64) -> RecordBatch {
+    fn read_records(&self, topic: StoreTopic, from: u64) -> RecordBatch {
         let contents = self.lock();
         let records = contents.topics.get(&topic).map(Vec::as_slice);
         let records = records.unwrap_or_default();
@@ -120,10 +120,10 @@
         }
     }
 
-    async fn wait_for(&self, topic: StoreTopic, from: u64) {
+    async fn wait_for_append(&self, topic: StoreTopic, from: u64) {
         loop {
             let appended = self.0.appended.notified();
-            if self.list_from(topic, from).next > from {
+            if self.read_records(topic, from).next > from {
                 return;
             }
             appended.await;
@@ -131,8 +131,8 @@
     }
 }
 
-/// An answer that is lost after the call was done.
-fn answer<T>(condition: StoreCondition, value: T) -> Result<T, StoreError> {
+/// Returns the answer to a write that was applied, or an error if answers are lost.
+fn answer_call<T>(condition: StoreCondition, value: T) -> Result<T, StoreError> {
     match condition {
         StoreCondition::LosesAnswers => Err(StoreError::NoAnswer),
         StoreCondition::Available | StoreCondition::Unavailable => Ok(value),
@@ -141,15 +141,15 @@
 
 impl StateStore for LocalStore {
     async fn read_newest(&self, topic: StoreTopic) -> Result<RecordBatch, StoreError> {
-        self.check()?;
-        let all = self.list_from(topic, 0);
+        self.check_available()?;
+        let all = self.read_records(topic, 0);
         let newest: BTreeMap<String, KeyedRecord> = all
             .records
             .into_iter()
             .map(|record| (record.key.clone(), record))
             .collect();
-        let kept = newest.into_values().filter(|record| record.value.is_some());
-        let mut records: Vec<KeyedRecord> = kept.collect();
+        let present = newest.into_values().filter(|record| record.value.is_some());
+        let mut records: Vec<KeyedRecord> = present.collect();
         records.sort_by_key(|record| record.position);
         Ok(RecordBatch {
             records,
@@ -163,32 +163,32 @@
         from: u64,
         wait: Duration,
     ) -> Result<RecordBatch, StoreError> {
-        self.check()?;
-        // Without news in time the answer holds no records.
-        let _ = timeout(wait, self.wait_for(topic, from)).await;
-        Ok(self.list_from(topic, from))
+        self.check_available()?;
+        // If no record is appended in time, the answer holds none.
+        let _ = timeout(wait, self.wait_for_append(topic, from)).await;
+        Ok(self.read_records(topic, from))
     }
 
     async fn append_node(&self, record: &NodeRecord, value: &[u8]) -> Result<(), StoreError> {
-        let condition = self.check()?;
+        let condition = self.check_available()?;
         self.append(StoreTopic::Nodes, &self.get_node_key(record), value);
-        answer(condition, ())
+        answer_call(condition, ())
     }
 
     async fn append_quarantine(
         &self,
-        digest: RequestFingerprint,
+        fingerprint: RequestFingerprint,
         is_quarantined: bool,
     ) -> Result<(), StoreError> {
-        let condition = self.check()?;
+        let condition = self.check_available()?;
         let value = is_quarantined.then_some(QUARANTINE_VALUE);
-        let end = self.append_at(
+        let end = self.append_record(
             StoreTopic::Nodes,
-            &build_quarantine_key(digest),
+            &build_quarantine_key(fingerprint),
             value,
             None,
         );
-        answer(condition, end).map(|_| ())
+        answer_call(condition, end).map(|_| ())
     }
 
     fn get_node_key(&self, record: &NodeRecord) -> String {
@@ -200,17 +200,17 @@
         record: &NodeRecord,
         expected_end: u64,
     ) -> Result<ConditionalAppend, StoreError> {
-        let condition = self.check()?;
+        let condition = self.check_available()?;
         let key = self.get_node_key(record);
-        let end = self.append_at(StoreTopic::Nodes, &key, None, Some(expected_end));
-        answer(condition, end)
+        let end = self.append_record(StoreTopic::Nodes, &key, None, Some(expected_end));
+        answer_call(condition, end)
     }
 
     fn decode_evacuated_zone(
         &self,
         record: &KeyedRecord,
     ) -> Option<Result<AvailabilityZoneName, String>> {
-        let zone = record.key.strip_prefix(EVACUATION_KEY)?;
+        let zone = record.key.strip_prefix(EVACUATION_KEY_PREFIX)?;
         Some(Ok(zone.into()))
     }
 
@@ -234,10 +234,10 @@
         value: &[u8],
         expected_end: u64,
     ) -> Result<ConditionalAppend, StoreError> {
-        let condition = self.check()?;
+        let condition = self.check_available()?;
         let topic = StoreTopic::Configuration;
-        let end = self.append_at(topic, CONFIGURATION_KEY, Some(value), Some(expected_end));
-        answer(condition, end)
+        let end = self.append_record(topic, CONFIGURATION_KEY, Some(value), Some(expected_end));
+        answer_call(condition, end)
     }
 
     async fn append_evacuation(
@@ -245,10 +245,10 @@
         zone: &AvailabilityZoneName,
         evacuated: bool,
     ) -> Result<(), StoreError> {
-        let condition = self.check()?;
-        let key = format!("{EVACUATION_KEY}{zone}");
+        let condition = self.check_available()?;
+        let key = format!("{EVACUATION_KEY_PREFIX}{zone}");
         let value = evacuated.then_some(EVACUATION_VALUE);
-        let end = self.append_at(StoreTopic::Configuration, &key, value, None);
-        answer(condition, end).map(|_| ())
+        let end = self.append_record(StoreTopic::Configuration, &key, value, None);
+        answer_call(condition, end).map(|_| ())
     }
 }
