--- a/soak/src/callers.rs
+++ b/soak/src/callers.rs
@@ -1,6 +1,6 @@
-//! Callers on each VM: kept connections, requests all the time, also while the node stops.
+//! Callers on each VM: they keep connections open and send requests all the time, also while the node stops.
 
-use crate::{configurations::DrawnTarget, history::CallerRecord, world::World};
+use crate::{configurations::DrawnRequest, history::CallerRecord, mesh::SoakMesh};
 use bytes::Bytes;
 use camphorturn::local_mesh::client::{CallFailure, CallerCall, CallerClient};
 use http::{HeaderMap, HeaderValue, Method, header::HOST};
@@ -11,70 +11,72 @@
 };
 use tokio::time::{sleep, timeout};
 
-/// Callers on each VM.
-pub const CALLERS: usize = 3;
-/// Pause between two requests of one caller, at the least and at the most, in milliseconds.
-const PAUSES_MS: (u64, u64) = (5, 60);
-/// Time that callers give a request.
-const TIME_LEFT_MS: &str = "1500";
-/// Time after which a caller gives up on a node that does not answer at all.
-const PATIENCE: Duration = Duration::from_secs(4);
+/// Number of callers on each VM.
+pub const CALLERS_PER_VM: usize = 3;
+/// Shortest and longest pause between two requests of one caller, in milliseconds.
+const PAUSE_MS: (u64, u64) = (5, 60);
+/// Timeout that callers announce in the request's header, in milliseconds.
+const REQUEST_TIMEOUT_MS: &str = "1500";
+/// Time after which a caller gives up on a node that sends no answer.
+const CALL_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Sends requests to one node until the world says that it is enough.
-pub async fn call_node(world: Rc<World>, node: usize, caller: usize, seed: u64) {
-    let mut random = StdRng::seed_from_u64(seed ^ ((node as u64) << 32) ^ caller as u64);
-    let client = CallerClient::new(world.machines[node].clients());
+/// Sends random requests to one node until the mesh is finished. Node and caller number determine the requests together with
+/// the seed.
+pub async fn call_node(mesh: Rc<SoakMesh>, node: usize, caller: usize, seed: u64) {
+    let mut rng = StdRng::seed_from_u64(seed ^ ((node as u64) << 32) ^ caller as u64);
+    let client = CallerClient::new(mesh.vms[node].client_address());
     let mut number = 0;
-    while !world.is_over() {
+    while !mesh.is_finished() {
         number += 1;
         let id = format!("{node}-{caller}-{number}");
-        let drawn = world.configurations.borrow().draw_target(&mut random, &id);
-        let call = OneCall { node, id, drawn };
-        let record = call.run(&world, &client).await;
-        let unreached = record.answer == Err(CallFailure::NotSent);
-        if !unreached {
-            world.history.borrow_mut().requests.push(record);
+        let drawn = mesh.configurations.borrow().draw_request(&mut rng, &id);
+        let call = PreparedCall { node, id, drawn };
+        let record = call.send(&mesh, &client).await;
+        let is_not_sent = record.answer == Err(CallFailure::NotSent);
+        if !is_not_sent {
+            mesh.history.borrow_mut().requests.push(record);
         }
-        let pause = random.random_range(PAUSES_MS.0..=PAUSES_MS.1);
+        let pause = rng.random_range(PAUSE_MS.0..=PAUSE_MS.1);
         sleep(Duration::from_millis(pause)).await;
     }
 }
 
-/// Asks for the same thing so many times within a span, each time under another identity and at another node.
-pub async fn call_again(world: &World, target: &str, calls: usize, span: Duration) {
-    let pause = span / u32::try_from(calls.max(1)).unwrap_or(u32::MAX);
-    for number in 0..calls {
-        let node = number % world.machines.len();
-        let client = CallerClient::new(world.machines[node].clients());
-        let call = OneCall {
+/// Sends the same request `requests` times, spread evenly over `span`, each time with another request id and to the next
+/// node.
+pub async fn send_repeatedly(mesh: &SoakMesh, target: &str, requests: usize, span: Duration) {
+    let pause = span / u32::try_from(requests.max(1)).unwrap_or(u32::MAX);
+    for number in 0..requests {
+        let node = number % mesh.vms.len();
+        let client = CallerClient::new(mesh.vms[node].client_address());
+        let call = PreparedCall {
             node,
             id: format!("{}-{number}", target.trim_start_matches('/')),
-            drawn: DrawnTarget {
+            drawn: DrawnRequest {
                 route_version: 0,
                 idempotent: true,
                 target: target.to_owned(),
             },
         };
-        let record = call.run(world, &client).await;
+        let record = call.send(mesh, &client).await;
         if record.answer != Err(CallFailure::NotSent) {
-            world.history.borrow_mut().requests.push(record);
+            mesh.history.borrow_mut().requests.push(record);
         }
         sleep(pause).await;
     }
 }
 
-struct OneCall {
+struct PreparedCall {
     node: usize,
-    /// Identity of this attempt of a client.
+    /// Request id.
     id: String,
-    drawn: DrawnTarget,
+    drawn: DrawnRequest,
 }
 
-impl OneCall {
-    async fn run(self, world: &World, client: &CallerClient) -> CallerRecord {
-        let node_run = world.machines[self.node].node_run.get();
+impl PreparedCall {
+    async fn send(self, mesh: &SoakMesh, client: &CallerClient) -> CallerRecord {
+        let node_incarnation = mesh.vms[self.node].node_incarnation.get();
         let sent = Instant::now();
-        let answer = timeout(PATIENCE, client.call(self.build())).await;
+        let answer = timeout(CALL_TIMEOUT, client.call(self.build())).await;
         let answer = answer
             .unwrap_or(Err(CallFailure::Disconnected))
             .map(|answer| {
@@ -83,7 +85,7 @@
             });
         CallerRecord {
             node: self.node,
-            node_run,
+            node_incarnation,
             route_version: self.drawn.route_version,
             target: self.drawn.target,
             idempotent: self.drawn.idempotent,
@@ -99,8 +101,8 @@
         if let Ok(id) = HeaderValue::from_str(&self.id) {
             headers.insert("camphorturn-request-id", id);
         }
-        let time_left = HeaderValue::from_static(TIME_LEFT_MS);
-        headers.insert("camphorturn-timeout-ms", time_left);
+        let request_timeout = HeaderValue::from_static(REQUEST_TIMEOUT_MS);
+        headers.insert("camphorturn-timeout-ms", request_timeout);
         CallerCall {
             method: if self.drawn.idempotent {
                 Method::GET
--- a/soak/src/checks.rs
+++ b/soak/src/checks.rs
@@ -1,8 +1,8 @@
-//! The promises, checked against what callers and upstreams saw.
+//! Checks of the promises against what callers and upstreams observed. The names of promises are written out in reports.
 
 use crate::{
-    history::{Acknowledged, CallerRecord, ColdTime, Hindrance, History, Violation},
-    machine::{CRASHING_PREFIX, choose_zone},
+    history::{Acknowledged, CallerRecord, History, UpdateOutage, UpstreamPeriod, Violation},
+    vm::{CRASHING_PREFIX, get_zone_number},
 };
 use camphorturn::local_mesh::client::CallFailure;
 use camphorturn_stand_ins::upstream::ExecutedRequest;
@@ -11,59 +11,74 @@
     time::{Duration, Instant},
 };
 
-/// Time after an acknowledged leaving from which no request may reach that run of the upstream.
-const DRAIN_BOUND: Duration = Duration::from_secs(2);
-/// Time after the order to stop in which clients may still bring requests.
-const STOP_TAKES: Duration = Duration::from_secs(3);
+/// Time after an acknowledged drain from which the draining incarnation of the upstream may receive no request.
+const DRAIN_LIMIT: Duration = Duration::from_secs(2);
+/// Time after SIGTERM in which a node must still serve new requests of its clients.
+const STOP_ACCEPT_PERIOD: Duration = Duration::from_secs(3);
 
-/// Upstreams that one request crashes until it is known, and what more of them it may reach after that.
-const CRASHES_KNOWN_AFTER: usize = 3;
-const CRASHES_ALLOWED: usize = 3;
-/// Time without hindrance after which a node counts as in touch with the others.
-const IN_TOUCH_AFTER: Duration = Duration::from_secs(3);
+/// Crashes after which a request is quarantined, and how many more upstreams may execute it once all nodes know of that.
+const CRASHES_TO_QUARANTINE: usize = 3;
+const MAX_LATE_EXECUTIONS: usize = 3;
+/// Time without outages and faults after which a node is taken to be up to date with the others.
+const CONNECTED_AFTER: Duration = Duration::from_secs(3);
 
-/// Time after an acknowledged change from which each node has it in force that nothing keeps from learning of it, and in
-/// which a node that something kept from it, or that has started, makes up for that. The platform's users count on it.
-pub const IN_FORCE_BOUND: Duration = Duration::from_millis(2_500);
+/// Time after an acknowledged change within which every node must have it in force. For a node that was kept from receiving
+/// changes, or has started, the time counts from the end of that period. The platform's users rely on this limit.
+pub const IN_FORCE_LIMIT: Duration = Duration::from_millis(2_500);
 
-/// Time after an acknowledged evacuation from which no request may reach the zone.
-pub const EVACUATED_BOUND: Duration = Duration::from_secs(5);
-/// Most requests within a second for a cold upstream, by the configuration and the settings of the nodes.
-pub const COLD_LIMIT: usize = 23;
-/// Time in which a node learns that its upstream has become cold.
-const COLD_TOLD_AFTER: Duration = Duration::from_millis(500);
+/// Time after an acknowledged evacuation from which the zone may receive no request.
+pub const EVACUATION_LIMIT: Duration = Duration::from_secs(5);
+/// Most requests that an upstream in warm-up may receive within a second, by the configuration (`warmup_per_s`) and the
+/// nodes' settings (`warmup_overage`, `warmup_slack`).
+pub const WARMUP_REQUESTS_PER_SECOND: usize = 23;
+/// Time within which a node learns that its upstream is in warm-up.
+const WARMUP_REPORT_DELAY: Duration = Duration::from_millis(500);
 
-/// Every promise that was broken.
+/// Runs all checks and returns the violations.
 #[must_use]
-pub fn find_violations(history: &History, runs: &[ExecutedRequest]) -> Vec<Violation> {
+pub fn find_violations(history: &History, executions: &[ExecutedRequest]) -> Vec<Violation> {
     let mut by_target: HashMap<&str, Vec<&ExecutedRequest>> = HashMap::new();
-    for run in runs {
-        by_target.entry(&run.target).or_default().push(run);
+    for execution in executions {
+        by_target
+            .entry(&execution.target)
+            .or_default()
+            .push(execution);
     }
     let none = Vec::new();
     let changes = index_changes(history);
     let mut found = Vec::new();
     for request in &history.requests {
-        let ran = by_target.get(request.target.as_str()).unwrap_or(&none);
-        found.extend(check_request(request, ran));
-        found.extend(check_planned_stop(request, ran, history));
-        found.extend(check_in_force(request, &changes, &history.hindrances));
+        let request_executions = by_target.get(request.target.as_str()).unwrap_or(&none);
+        found.extend(check_request(request, request_executions));
+        found.extend(check_planned_stop(request, request_executions, history));
+        found.extend(check_change_in_force(
+            request,
+            &changes,
+            &history.update_outages,
+        ));
     }
-    found.extend(check_unasked(history, runs));
-    found.extend(check_drains(history, runs));
+    found.extend(check_unrequested(history, executions));
+    found.extend(check_drains(history, executions));
     found.extend(check_crashing(&by_target, history));
     found.extend(check_versions(history));
-    found.extend(check_evacuations(history, runs));
-    found.extend(check_cold_upstreams(history, runs));
+    found.extend(check_evacuations(history, executions));
+    found.extend(check_warmups(history, executions));
     found
 }
 
-fn violation(promise: &'static str, request: &CallerRecord, ran: &[&ExecutedRequest]) -> Violation {
-    let by: Vec<&str> = ran.iter().map(|run| run.instance.as_str()).collect();
+fn build_violation(
+    promise: &'static str,
+    request: &CallerRecord,
+    request_executions: &[&ExecutedRequest],
+) -> Violation {
+    let by: Vec<&str> = request_executions
+        .iter()
+        .map(|execution| execution.instance.as_str())
+        .collect();
     let took = request.ended.duration_since(request.sent);
     Violation {
         promise,
-        seen: format!(
+        observed: format!(
             "{} at node {}: {:?} after {} ms, run by {by:?}",
             request.target,
             request.node,
@@ -73,20 +88,30 @@
     }
 }
 
-fn check_request(request: &CallerRecord, ran: &[&ExecutedRequest]) -> Option<Violation> {
+/// Checks a request by itself: its answer and how often upstreams executed it.
+fn check_request(
+    request: &CallerRecord,
+    request_executions: &[&ExecutedRequest],
+) -> Option<Violation> {
     let promise = match &request.answer {
-        _ if !request.idempotent && ran.len() > 1 => "what must not run twice runs once",
-        Ok((503 | 429, _)) if !request.idempotent && !ran.is_empty() => "refused means not run",
-        Ok((200, _)) if ran.is_empty() => "an answer comes from an upstream that ran it",
+        _ if !request.idempotent && request_executions.len() > 1 => {
+            "what must not run twice runs once"
+        }
+        Ok((503 | 429, _)) if !request.idempotent && !request_executions.is_empty() => {
+            "refused means not run"
+        }
+        Ok((200, _)) if request_executions.is_empty() => {
+            "an answer comes from an upstream that ran it"
+        }
         Ok((200, body)) if !body.contains(&request.target) => "an answer is the one to its request",
         Ok((404, _)) if request.route_version == 0 => "a route that is in force is never denied",
         Ok((200 | 404 | 429 | 500 | 502 | 503 | 504, _)) | Err(_) => return None,
         Ok(_) => "no status that nobody gave",
     };
-    Some(violation(promise, request, ran))
+    Some(build_violation(promise, request, request_executions))
 }
 
-/// When each configuration was acknowledged.
+/// Maps each configuration's version to the time of its acknowledgement.
 fn index_changes(history: &History) -> HashMap<u64, Instant> {
     let changes = history.acknowledged.iter();
     changes
@@ -97,41 +122,41 @@
         .collect()
 }
 
-/// A route of an acknowledged change is no longer denied once the change is to be in force.
-fn check_in_force(
+/// Checks that a node doesn't answer 404 for a route of an acknowledged change once the change must be in force.
+fn check_change_in_force(
     request: &CallerRecord,
     changes: &HashMap<u64, Instant>,
-    hindrances: &[Hindrance],
+    update_outages: &[UpdateOutage],
 ) -> Option<Violation> {
     let acknowledged = *changes.get(&request.route_version)?;
-    let owed = acknowledged + IN_FORCE_BOUND;
-    if !matches!(request.answer, Ok((404, _))) || request.sent < owed {
+    let due = acknowledged + IN_FORCE_LIMIT;
+    if !matches!(request.answer, Ok((404, _))) || request.sent < due {
         return None;
     }
-    let hinders = |hindrance: &Hindrance| {
-        hindrance.node.is_none_or(|node| node == request.node)
-            && hindrance.from <= request.ended
-            && hindrance.to + IN_FORCE_BOUND > request.sent
+    let delays_updates = |outage: &UpdateOutage| {
+        outage.node.is_none_or(|node| node == request.node)
+            && outage.from <= request.ended
+            && outage.to + IN_FORCE_LIMIT > request.sent
     };
-    if hindrances.iter().any(hinders) {
+    if update_outages.iter().any(delays_updates) {
         return None;
     }
     let promise = "an acknowledged change is in force in time";
-    let found = violation(promise, request, &[]);
+    let found = build_violation(promise, request, &[]);
     let since = request.sent.duration_since(acknowledged).as_millis();
     Some(Violation {
-        seen: format!("{}, sent {since} ms after the change", found.seen),
+        observed: format!("{}, sent {since} ms after the change", found.observed),
         ..found
     })
 }
 
-/// A request that was read and run is answered by a node that stops as planned.
+/// Checks that a request which an upstream has executed is answered, also by a node that stops as planned.
 fn check_planned_stop(
     request: &CallerRecord,
-    ran: &[&ExecutedRequest],
+    request_executions: &[&ExecutedRequest],
     history: &History,
 ) -> Option<Violation> {
-    if request.answer != Err(CallFailure::Disconnected) || ran.is_empty() {
+    if request.answer != Err(CallFailure::Disconnected) || request_executions.is_empty() {
         return None;
     }
     let of_node = history
@@ -141,114 +166,130 @@
         .filter(|disturbance| disturbance.from <= request.ended && request.sent <= disturbance.to);
     let mut stopped = false;
     for disturbance in of_node {
-        if !disturbance.planned || request.sent > disturbance.from + STOP_TAKES {
+        if !disturbance.planned || request.sent > disturbance.from + STOP_ACCEPT_PERIOD {
             return None;
         }
         stopped = true;
     }
-    // Without any disturbance a cut has no excuse at all.
+    // A lost answer without any fault of the node is a violation in any case.
     let promise = if stopped {
         "a planned stop cuts nothing off"
     } else {
         "a request is answered"
     };
-    Some(violation(promise, request, ran))
+    Some(build_violation(promise, request, request_executions))
 }
 
-fn check_unasked(history: &History, runs: &[ExecutedRequest]) -> Vec<Violation> {
-    let asked: HashMap<&str, &CallerRecord> = history
+/// Checks that upstreams execute only requests that callers have sent.
+fn check_unrequested(history: &History, executions: &[ExecutedRequest]) -> Vec<Violation> {
+    let sent: HashMap<&str, &CallerRecord> = history
         .requests
         .iter()
         .map(|request| (request.target.as_str(), request))
         .collect();
-    runs.iter()
-        .filter(|run| !asked.contains_key(run.target.as_str()))
-        .map(|run| Violation {
+    executions
+        .iter()
+        .filter(|execution| !sent.contains_key(execution.target.as_str()))
+        .map(|execution| Violation {
             promise: "upstreams run what callers asked",
-            seen: format!("{} at {}", run.target, run.instance),
+            observed: format!("{} at {}", execution.target, execution.instance),
         })
         .collect()
 }
 
-fn check_drains(history: &History, runs: &[ExecutedRequest]) -> Vec<Violation> {
+/// Checks that a draining upstream receives no requests.
+fn check_drains(history: &History, executions: &[ExecutedRequest]) -> Vec<Violation> {
     let mut found = Vec::new();
     for acknowledged in &history.acknowledged {
-        let Acknowledged::Leaving { instance, born, at } = acknowledged else {
+        let Acknowledged::Leaving {
+            instance,
+            incarnation_started_ms,
+            at,
+        } = acknowledged
+        else {
             continue;
         };
-        let late = runs.iter().filter(|run| {
-            run.instance == *instance
-                && run.incarnation_started_ms == *born
-                && run.executed_at > *at + DRAIN_BOUND
+        let late = executions.iter().filter(|execution| {
+            execution.instance == *instance
+                && execution.incarnation_started_ms == *incarnation_started_ms
+                && execution.executed_at > *at + DRAIN_LIMIT
         });
-        found.extend(late.map(|run| Violation {
+        found.extend(late.map(|execution| Violation {
             promise: "a leaving upstream gets no work",
-            seen: format!(
+            observed: format!(
                 "{} at {instance}, {} ms after",
-                run.target,
-                run.executed_at.duration_since(*at).as_millis()
+                execution.target,
+                execution.executed_at.duration_since(*at).as_millis()
             ),
         }));
     }
     found
 }
 
-/// Number of the VM whose upstream ran a request.
-fn find_machine(run: &ExecutedRequest) -> Option<usize> {
-    let (number, _) = run.instance.strip_prefix('u')?.split_once('-')?;
+/// Number of the VM whose upstream executed a request; none if the instance id has another form.
+fn find_vm(execution: &ExecutedRequest) -> Option<usize> {
+    let (number, _) = execution.instance.strip_prefix('u')?.split_once('-')?;
     number.parse().ok()
 }
 
-fn check_evacuations(history: &History, runs: &[ExecutedRequest]) -> Vec<Violation> {
+/// Checks that an evacuated zone receives no requests from nodes that are up to date.
+fn check_evacuations(history: &History, executions: &[ExecutedRequest]) -> Vec<Violation> {
     let mut found = Vec::new();
     for evacuation in &history.evacuations {
-        let owed = evacuation.from + EVACUATED_BOUND;
-        let late = runs.iter().filter(|run| {
-            let is_in_zone = find_machine(run).map(choose_zone) == Some(evacuation.zone);
-            let is_before_end = evacuation.to.is_none_or(|to| run.executed_at < to);
-            is_in_zone && run.executed_at > owed && is_before_end && is_in_touch(history, run)
+        let due = evacuation.from + EVACUATION_LIMIT;
+        let late = executions.iter().filter(|execution| {
+            let is_in_zone = find_vm(execution).map(get_zone_number) == Some(evacuation.zone);
+            let is_before_end = evacuation.to.is_none_or(|to| execution.executed_at < to);
+            is_in_zone
+                && execution.executed_at > due
+                && is_before_end
+                && was_connected(history, execution)
         });
-        found.extend(late.map(|run| Violation {
+        found.extend(late.map(|execution| Violation {
             promise: "an evacuated zone gets no work",
-            seen: format!(
+            observed: format!(
                 "{} at {}, {} ms after",
-                run.target,
-                run.instance,
-                run.executed_at.duration_since(evacuation.from).as_millis()
+                execution.target,
+                execution.instance,
+                execution.executed_at.duration_since(evacuation.from).as_millis()
             ),
         }));
     }
     found
 }
 
-/// In no second in which it is cold, and has said so, an upstream gets more than its service tolerates.
-fn check_cold_upstreams(history: &History, runs: &[ExecutedRequest]) -> Vec<Violation> {
+/// Checks that an upstream in warm-up, which has reported this, receives no more requests in any second than its service
+/// tolerates. Warm-ups during a fault of the link are skipped: delayed requests arrive together.
+fn check_warmups(history: &History, executions: &[ExecutedRequest]) -> Vec<Violation> {
     let mut found = Vec::new();
-    for cold in &history.cold_times {
-        let is_held_up = |held_up: &ColdTime| {
-            held_up.node == cold.node && held_up.from <= cold.to && cold.from <= held_up.to
+    for warmup in &history.warmups {
+        let is_delayed = |delay: &UpstreamPeriod| {
+            delay.node == warmup.node && delay.from <= warmup.to && warmup.from <= delay.to
         };
-        if history.held_up.iter().any(is_held_up) {
+        if history.delayed_links.iter().any(is_delayed) {
             continue;
         }
-        let told = cold.from + COLD_TOLD_AFTER;
-        let of_upstream = runs
+        let reported = warmup.from + WARMUP_REPORT_DELAY;
+        let of_upstream = executions
             .iter()
-            .filter(|run| find_machine(run) == Some(cold.node));
-        let while_cold =
-            of_upstream.filter(|run| told <= run.executed_at && run.executed_at < cold.to);
-        let mut times: Vec<Instant> = while_cold.map(|run| run.executed_at).collect();
+            .filter(|execution| find_vm(execution) == Some(warmup.node));
+        let during_warmup = of_upstream.filter(|execution| {
+            reported <= execution.executed_at && execution.executed_at < warmup.to
+        });
+        let mut times: Vec<Instant> = during_warmup
+            .map(|execution| execution.executed_at)
+            .collect();
         times.sort();
         let second = Duration::from_secs(1);
-        let broken = times
-            .windows(COLD_LIMIT + 1)
-            .any(|window| window[COLD_LIMIT].duration_since(window[0]) < second);
-        if broken {
+        let exceeds_limit = times
+            .windows(WARMUP_REQUESTS_PER_SECOND + 1)
+            .any(|window| window[WARMUP_REQUESTS_PER_SECOND].duration_since(window[0]) < second);
+        if exceeds_limit {
             found.push(Violation {
                 promise: "a cold upstream gets what it tolerates",
-                seen: format!(
-                    "more than {COLD_LIMIT} requests in a second at node {}",
-                    cold.node
+                observed: format!(
+                    "more than {WARMUP_REQUESTS_PER_SECOND} requests in a second at node {}",
+                    warmup.node
                 ),
             });
         }
@@ -256,60 +297,67 @@
     found
 }
 
-/// A request that has crashed three upstreams reaches hardly any more, once all nodes have heard of it.
+/// Checks that a request which has crashed three upstreams crashes only few more once all nodes know of that.
 fn check_crashing(
     by_target: &HashMap<&str, Vec<&ExecutedRequest>>,
     history: &History,
 ) -> Vec<Violation> {
     let mut found = Vec::new();
-    for (target, ran) in by_target {
+    for (target, request_executions) in by_target {
         if !target.starts_with(CRASHING_PREFIX) {
             continue;
         }
-        let mut ran = ran.clone();
-        ran.sort_by_key(|run| run.executed_at);
-        let Some(third) = ran.get(CRASHES_KNOWN_AFTER - 1) else {
+        let mut request_executions = request_executions.clone();
+        request_executions.sort_by_key(|execution| execution.executed_at);
+        let Some(third) = request_executions.get(CRASHES_TO_QUARANTINE - 1) else {
             continue;
         };
-        let known = third.executed_at + IN_TOUCH_AFTER;
-        let late = ran.iter().filter(|run| run.executed_at > known);
-        let late = late.filter(|run| is_in_touch(history, run)).count();
-        if late > CRASHES_ALLOWED {
+        let known = third.executed_at + CONNECTED_AFTER;
+        let late = request_executions
+            .iter()
+            .filter(|execution| execution.executed_at > known);
+        let late = late
+            .filter(|execution| was_connected(history, execution))
+            .count();
+        if late > MAX_LATE_EXECUTIONS {
             found.push(Violation {
                 promise: "what crashes upstreams is kept from them",
-                seen: format!("{target}: {late} late ones of {}", ran.len()),
+                observed: format!(
+                    "{target}: {late} late executions of {}",
+                    request_executions.len()
+                ),
             });
         }
     }
     found
 }
 
-/// Whether nothing has kept the node beside the upstream from hearing of the others for so long before a run.
-fn is_in_touch(history: &History, run: &ExecutedRequest) -> bool {
-    let begin = run
+/// Whether the upstream's node had no outage and no fault for [`CONNECTED_AFTER`] before it executed a request.
+fn was_connected(history: &History, execution: &ExecutedRequest) -> bool {
+    let begin = execution
         .executed_at
-        .checked_sub(IN_TOUCH_AFTER)
-        .unwrap_or(run.executed_at);
-    let overlaps = |from: Instant, to: Instant| from <= run.executed_at && begin <= to;
-    let is_of_node = |node: usize| run.instance.starts_with(&format!("u{node}-"));
-    let mut hindrances = history.hindrances.iter();
+        .checked_sub(CONNECTED_AFTER)
+        .unwrap_or(execution.executed_at);
+    let overlaps = |from: Instant, to: Instant| from <= execution.executed_at && begin <= to;
+    let is_of_node = |node: usize| execution.instance.starts_with(&format!("u{node}-"));
+    let mut update_outages = history.update_outages.iter();
     let mut disturbances = history.disturbances.iter();
-    !hindrances.any(|hindrance| {
-        hindrance.node.is_none_or(is_of_node) && overlaps(hindrance.from, hindrance.to)
-    }) && !disturbances.any(|disturbance| {
-        is_of_node(disturbance.node) && overlaps(disturbance.from, disturbance.to)
-    })
+    !update_outages
+        .any(|outage| outage.node.is_none_or(is_of_node) && overlaps(outage.from, outage.to))
+        && !disturbances.any(|disturbance| {
+            is_of_node(disturbance.node) && overlaps(disturbance.from, disturbance.to)
+        })
 }
 
-/// Within one run of a node's process, a route that it has served is never denied afterwards, nor one of an
-/// earlier version.
+/// Checks that a node's process which has served a route never answers 404 later for a route of the same or an earlier
+/// version.
 fn check_versions(history: &History) -> Vec<Violation> {
     let mut served: BTreeMap<(usize, u64), (u64, &CallerRecord)> = BTreeMap::new();
     let mut requests: Vec<&CallerRecord> = history.requests.iter().collect();
     requests.sort_by_key(|request| request.sent);
     let mut found = Vec::new();
     for request in requests {
-        let key = (request.node, request.node_run);
+        let key = (request.node, request.node_incarnation);
         match &request.answer {
             Ok((200, _)) => {
                 let known = served.entry(key).or_insert((0, request));
@@ -323,7 +371,11 @@
                     *version >= request.route_version && since.ended < request.sent
                 });
                 if regressed {
-                    found.push(violation("a configuration never reverts", request, &[]));
+                    found.push(build_violation(
+                        "a configuration never reverts",
+                        request,
+                        &[],
+                    ));
                 }
             }
             _ => {}
--- a/soak/src/heartbeats.rs
+++ b/soak/src/heartbeats.rs
@@ -1,10 +1,10 @@
-//! What upstreams tell the nodes beside them.
+//! Heartbeats, by which upstreams announce themselves to their nodes.
 
 use crate::{
-    foreign::{Damage, damage},
+    corruption::{Corruption, corrupt},
     history::Acknowledged,
-    machine::Machine,
-    world::{ANSWER_TIMEOUT, World, build_call},
+    mesh::{ANSWER_TIMEOUT, SoakMesh, build_call},
+    vm::Vm,
 };
 use camphorturn::local_mesh::client::CallerClient;
 use http::Method;
@@ -15,53 +15,58 @@
 };
 use tokio::time::{sleep, timeout};
 
-/// Pause between two heartbeats of an upstream.
-const HEARTBEAT_PAUSE: Duration = Duration::from_millis(250);
+/// Time between two heartbeats of an upstream.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(250);
 
-/// The upstream of a VM tells of itself until the end, while it runs.
-pub async fn send_heartbeats(world: Rc<World>, number: usize) {
-    let machine = &world.machines[number];
-    let client = CallerClient::new(machine.announcements());
-    while !world.is_over() {
-        if !machine.upstream.is_crashed() {
-            send_heartbeat(&world, machine, &client).await;
+/// Sends the heartbeats of a VM's upstream until the mesh is finished, except while the upstream is crashed.
+pub async fn send_heartbeats(mesh: Rc<SoakMesh>, number: usize) {
+    let vm = &mesh.vms[number];
+    let client = CallerClient::new(vm.announcement_address());
+    while !mesh.is_finished() {
+        if !vm.upstream.is_crashed() {
+            send_heartbeat(&mesh, vm, &client).await;
         }
-        sleep(HEARTBEAT_PAUSE).await;
+        sleep(HEARTBEAT_INTERVAL).await;
     }
 }
 
-async fn send_heartbeat(world: &World, machine: &Machine, client: &CallerClient) {
-    let (instance, born) = (machine.instance(), machine.upstream.started_ms());
-    let leaving = machine.leaving.get();
-    let body = describe(machine).into_bytes();
-    let taken = send(machine, client, body).await;
-    if taken && leaving {
+async fn send_heartbeat(mesh: &SoakMesh, vm: &Vm, client: &CallerClient) {
+    let (instance, incarnation_started_ms) = (vm.instance(), vm.upstream.started_ms());
+    let is_leaving = vm.is_leaving.get();
+    let body = build_heartbeat(vm).into_bytes();
+    let is_accepted = send(vm, client, body).await;
+    if is_accepted && is_leaving {
         let at = Instant::now();
-        let left = Acknowledged::Leaving { instance, born, at };
-        world.history.borrow_mut().acknowledged.push(left);
+        let leaving = Acknowledged::Leaving {
+            instance,
+            incarnation_started_ms,
+            at,
+        };
+        mesh.history.borrow_mut().acknowledged.push(leaving);
     }
 }
 
-/// Somebody sends a heartbeat of the upstream that has some damage.
-pub async fn send_foreign(machine: &Machine, how: Damage) {
-    let client = CallerClient::new(machine.announcements());
-    let body = damage(&describe(machine), how);
-    send(machine, &client, body).await;
+/// Sends one malformed heartbeat to the upstream's node.
+pub async fn send_corrupted_heartbeat(vm: &Vm, corruption: Corruption) {
+    let client = CallerClient::new(vm.announcement_address());
+    let body = corrupt(&build_heartbeat(vm), corruption);
+    send(vm, &client, body).await;
 }
 
-async fn send(machine: &Machine, client: &CallerClient, body: Vec<u8>) -> bool {
-    let target = format!("/-/rpc?call=instances.heartbeat&of={}", machine.instance());
+/// Sends a heartbeat. Returns whether the node accepted it.
+async fn send(vm: &Vm, client: &CallerClient, body: Vec<u8>) -> bool {
+    let target = format!("/-/rpc?call=instances.heartbeat&of={}", vm.instance());
     let call = client.call(build_call(Method::POST, target, body));
     let answer = timeout(ANSWER_TIMEOUT, call).await;
     matches!(answer, Ok(Ok(answer)) if answer.status.is_success())
 }
 
-fn describe(machine: &Machine) -> String {
+fn build_heartbeat(vm: &Vm) -> String {
     json!({
-        "service": machine.plan.service, "address": machine.upstream_link.address.to_string(),
-        "zone": machine.plan.zone, "version": "v1", "slots": 6, "born": machine.upstream.started_ms(),
-        "state": if machine.leaving.get() { "draining" } else { "ready" },
-        "warmup_left_s": machine.upstream.warmup_left().as_secs_f64(), "sequence": machine.count_heartbeat(),
+        "service": vm.plan.service, "address": vm.upstream_link.address.to_string(),
+        "zone": vm.plan.zone, "version": "v1", "slots": 6, "born": vm.upstream.started_ms(),
+        "state": if vm.is_leaving.get() { "draining" } else { "ready" },
+        "warmup_left_s": vm.upstream.warmup_left().as_secs_f64(), "sequence": vm.next_heartbeat_number(),
     })
     .to_string()
 }
--- a/soak/src/history.rs
+++ b/soak/src/history.rs
@@ -1,121 +1,122 @@
-//! What happened, as callers, upstreams and the operator saw it.
+//! Record of a seed's run: requests, acknowledged changes, faults and broken promises. The checks read it.
 
 use camphorturn::local_mesh::client::CallFailure;
 use serde::Serialize;
 use std::time::Instant;
 
-/// A request as its caller saw it.
+/// A request and its result, as its caller observed them.
 #[derive(Clone, Debug)]
 pub struct CallerRecord {
-    /// The node it was sent to.
+    /// Number of the node that the request was sent to.
     pub node: usize,
-    /// Which run of that node's process.
-    pub node_run: u64,
-    /// Target, unique for each request.
+    /// Incarnation of that node's process, counted from 1.
+    pub node_incarnation: u64,
+    /// Path of the request. It is unique, except for requests that crash upstreams.
     pub target: String,
-    /// Whether it may run twice.
+    /// Whether the request may be executed more than once.
     pub idempotent: bool,
-    /// The configuration that brought its route.
+    /// Version of the configuration that added the route; 0 is the first configuration.
     pub route_version: u64,
-    /// When it was sent.
+    /// When the request was sent.
     pub sent: Instant,
-    /// When its end was known.
+    /// When the answer was complete or the call had failed.
     pub ended: Instant,
-    /// Status and body, or why there is none.
+    /// Status and body, or why there is no answer.
     pub answer: Result<(u16, String), CallFailure>,
 }
 
-/// A change that the system acknowledged.
+/// A change that a node or the store acknowledged.
 #[derive(Clone, Debug)]
 pub enum Acknowledged {
-    /// A node took in that a run of its upstream leaves.
+    /// A node accepted the announcement that its upstream is draining.
     Leaving {
-        /// Identity of the run.
+        /// Instance id of the upstream.
         instance: String,
-        /// When it started, which tells it from others under its identity.
-        born: u64,
-        /// When.
+        /// Start of the incarnation, in Unix milliseconds: incarnations may share an instance id.
+        incarnation_started_ms: u64,
+        /// When the acknowledgement arrived.
         at: Instant,
     },
-    /// The store took in a configuration.
+    /// The store accepted a configuration.
     Change {
-        /// Which one.
+        /// Version of the configuration.
         route_version: u64,
-        /// When.
+        /// When the store accepted it.
         at: Instant,
     },
 }
 
-/// A span in which a node, or each node, is kept from learning of changes.
+/// A period in which a fault keeps one node, or every node, from receiving changes.
 #[derive(Clone, Debug)]
-pub struct Hindrance {
-    /// The node; none is each.
+pub struct UpdateOutage {
+    /// Number of the node; none stands for every node.
     pub node: Option<usize>,
-    /// From.
+    /// Start.
     pub from: Instant,
-    /// To.
+    /// End.
     pub to: Instant,
 }
 
-/// A span in which an availability zone is evacuated.
+/// A period in which an availability zone is evacuated.
 #[derive(Clone, Copy, Debug)]
 pub struct Evacuation {
-    /// Number of the zone.
+    /// Number of the zone, an index into [`crate::vm::ZONES`].
     pub zone: usize,
-    /// When the store took the operator's word.
+    /// When the store accepted the evacuation.
     pub from: Instant,
-    /// When the operator took the zone back.
+    /// When the operator restored the zone; none while it is evacuated.
     pub to: Option<Instant>,
 }
 
-/// A span in which an upstream is cold.
+/// A period of one upstream: its warm-up, or a fault of the link to it.
 #[derive(Clone, Copy, Debug)]
-pub struct ColdTime {
-    /// The node beside it.
+pub struct UpstreamPeriod {
+    /// Number of the upstream's node.
     pub node: usize,
-    /// From.
+    /// Start.
     pub from: Instant,
-    /// To.
+    /// End.
     pub to: Instant,
 }
 
-/// A span in which something was done to a node.
+/// A period in which a fault of a node may be visible to its callers.
 #[derive(Clone, Debug)]
 pub struct Disturbance {
-    /// The node.
+    /// Number of the node.
     pub node: usize,
-    /// From.
+    /// Start.
     pub from: Instant,
-    /// To.
+    /// End.
     pub to: Instant,
-    /// Whether it was a planned stop and nothing else.
+    /// Whether the fault was a planned stop: SIGTERM and nothing else.
     pub planned: bool,
 }
 
-/// Everything.
+/// All that was recorded while a seed ran.
 #[derive(Clone, Debug, Default)]
 pub struct History {
-    /// Requests.
+    /// Requests of all callers that reached a node.
     pub requests: Vec<CallerRecord>,
-    /// Acknowledgements.
+    /// Acknowledged changes.
     pub acknowledged: Vec<Acknowledged>,
-    /// What was done to nodes.
+    /// Faults of nodes.
     pub disturbances: Vec<Disturbance>,
-    /// What kept nodes from learning of changes.
-    pub hindrances: Vec<Hindrance>,
-    /// Evacuations of zones.
+    /// Periods in which nodes did not receive changes.
+    pub update_outages: Vec<UpdateOutage>,
+    /// Evacuations of availability zones.
     pub evacuations: Vec<Evacuation>,
-    /// Cold times of upstreams.
-    pub cold_times: Vec<ColdTime>,
-    /// Spans in which requests on their way to an upstream were held up.
-    pub held_up: Vec<ColdTime>,
+    /// Warm-ups of upstreams.
+    pub warmups: Vec<UpstreamPeriod>,
+    /// Periods in which the link to an upstream delayed or dropped requests.
+    pub delayed_links: Vec<UpstreamPeriod>,
 }
 
-/// A broken promise.
+/// A promise to callers or operators that did not hold.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Violation {
-    /// Which promise.
+    /// Name of the promise; written out in reports.
     pub promise: &'static str,
-    /// What was seen.
-    pub seen: String,
+    /// What was observed instead; written out as `seen`.
+    #[serde(rename = "seen")]
+    pub observed: String,
 }
--- a/soak/src/lib.rs
+++ b/soak/src/lib.rs
@@ -1,23 +1,23 @@
-//! Plays faults on real camphorturn processes, and checks what callers and upstreams see.
+//! Injects random faults into real camphorturn processes, and checks what callers and upstreams observe.
 //!
-//! Nodes are processes of their own, started by this tool with the platform's settings file; store and
-//! upstreams are stand-ins in this process, reached over links that can be delayed, cut and silenced.
-//! Everything that is drawn at random comes from one seed.
+//! Each node is a process that this tool starts with a settings file of the platform. The store and the upstreams are
+//! stand-ins in this tool's process. Nodes reach them over links that can be slow, reset connections or drop bytes.
+//! One seed determines all random choices: faults, requests and service times.
 
 pub mod arguments;
 pub mod callers;
 pub mod checks;
 pub mod configurations;
-pub mod foreign;
+pub mod corruption;
+pub mod fault_plan;
 mod heartbeats;
 pub mod history;
 pub mod link;
-pub mod machine;
-pub mod plan;
-pub mod play;
+mod mesh;
 pub mod report;
+pub mod seed_run;
 mod serve;
-mod world;
+pub mod vm;
 
 use arguments::{Command, command};
 use camphorturn_platform::{
@@ -25,13 +25,13 @@
     daemon::{run_daemon, run_daemon_with_listeners},
     node::PlatformListeners,
 };
-use play::{PlayOptions, play_seed};
 use report::write_report;
+use seed_run::{SeedOptions, run_seed};
 use serve::serve;
 use std::{io, process::ExitCode};
 use tokio::{runtime::Builder, task::LocalSet};
 
-/// Runs the tool with the arguments of this process.
+/// Parses the arguments of this process and runs the command that they name.
 #[must_use]
 pub fn run_tool() -> ExitCode {
     match command().run() {
@@ -45,22 +45,23 @@
             json,
         } => finish(run_seeds(
             seed..seed + count,
-            PlayOptions { seconds, nodes },
+            SeedOptions { seconds, nodes },
             json,
         )),
     }
 }
 
-/// Runs a node until it has stopped. Behind a link it listens at another port than it tells others: theirs is the link's.
+/// Runs a node until it has stopped. With `behind_link` the node listens for other nodes on that port, and announces the
+/// port of the link in front of it.
 fn run_node(behind_link: Option<u16>) -> ExitCode {
     let arguments = Arguments { check: false };
     let Some(port) = behind_link else {
         return run_daemon(arguments);
     };
     run_daemon_with_listeners(arguments, async move |settings| {
-        let mut behind = settings.clone();
-        behind.proxy.peer_address.set_port(port);
-        PlatformListeners::bind(&behind).await
+        let mut settings_behind_link = settings.clone();
+        settings_behind_link.proxy.peer_address.set_port(port);
+        PlatformListeners::bind(&settings_behind_link).await
     })
 }
 
@@ -75,11 +76,11 @@
     }
 }
 
-/// Plays one seed after the other; true if none broke a promise.
-fn run_seeds(seeds: std::ops::Range<u64>, options: PlayOptions, json: bool) -> io::Result<bool> {
+/// Runs the seeds one after the other. Returns true if no check found a violation.
+fn run_seeds(seeds: std::ops::Range<u64>, options: SeedOptions, json: bool) -> io::Result<bool> {
     let mut clean = true;
     for seed in seeds {
-        let report = block_on(play_seed(seed, options))?;
+        let report = block_on(run_seed(seed, options))?;
         clean &= report.is_clean();
         write_report(&report, json, &mut io::stdout().lock())?;
     }
--- a/soak/src/link.rs
+++ b/soak/src/link.rs
@@ -1,4 +1,4 @@
-//! A link between two programs: forwards bytes over loopback, and does to them what networks do.
+//! A link between two processes: a TCP proxy on a loopback address that can delay, drop or limit what it forwards.
 
 use std::{
     cell::Cell,
@@ -19,151 +19,159 @@
     time::{sleep, sleep_until},
 };
 
-/// Bytes forwarded at a time.
-const CHUNK: usize = 16 * 1024;
-/// Pieces that a thin link has passed within this time wait no longer: timers are no finer.
-const TIMER_STEP: Duration = Duration::from_millis(1);
+/// Largest chunk that is forwarded at once.
+const CHUNK_BYTES: usize = 16 * 1024;
+/// Resolution of timers. A delay by limited bandwidth that is not longer is skipped.
+const TIMER_RESOLUTION: Duration = Duration::from_millis(1);
 
 /// What a link does to bytes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LinkCondition {
-    /// Forwards them.
+    /// Forwards them at once.
     #[default]
     Healthy,
-    /// Forwards each piece after a pause.
+    /// Forwards each chunk after a delay.
     Slow(Duration),
-    /// Forwards questions; answers don't come.
+    /// Forwards requests and drops answers.
     AnswersLost,
     /// Forwards nothing in either direction; connections stay open.
     Silent,
 }
 
 #[derive(Default)]
-struct State {
+struct LinkState {
     condition: Cell<LinkCondition>,
     changed: Notify,
     reset: Notify,
-    /// Bytes a second each way; none if there is no bound.
-    rate: Option<u32>,
-    /// When questions and answers have been carried that were taken so far.
-    carried: [Cell<Option<Instant>>; 2],
+    /// Bandwidth each way, of all connections together; none if it is unlimited.
+    bytes_per_second: Option<u32>,
+    /// By direction: when the bytes accepted so far will have been transmitted at the limited bandwidth.
+    busy_until: [Cell<Option<Instant>>; 2],
 }
 
-/// A link to one address.
+/// A link to one address. It stays open until the event loop ends.
 pub struct Link {
-    /// Where to connect in place of the address itself.
+    /// Address to connect to instead of the target.
     pub address: SocketAddr,
-    state: Rc<State>,
+    state: Rc<LinkState>,
 }
 
 impl Link {
-    /// Opens a link to `to` on a free port.
+    /// Opens a link to `to` on a free port, with unlimited bandwidth.
     ///
     /// # Errors
     /// If no port is free.
     pub async fn open(to: SocketAddr) -> io::Result<Self> {
-        Self::open_at(([127, 0, 0, 1], 0).into(), to, None).await
+        Self::open_with_rate(([127, 0, 0, 1], 0).into(), to, None).await
     }
 
-    /// Opens a link from `near` to `to`. A thin one carries `rate` bytes a second each way, all connections together.
+    /// Opens a link from `listen_address` to `to`. `bytes_per_second` limits the bandwidth each way, of all connections together.
     ///
     /// # Errors
-    /// If the address is taken.
-    pub async fn open_at(near: SocketAddr, to: SocketAddr, rate: Option<u32>) -> io::Result<Self> {
-        let listener = TcpListener::bind(near).await?;
+    /// If the address is in use.
+    pub async fn open_with_rate(
+        listen_address: SocketAddr,
+        to: SocketAddr,
+        bytes_per_second: Option<u32>,
+    ) -> io::Result<Self> {
+        let listener = TcpListener::bind(listen_address).await?;
         let address = listener.local_addr()?;
-        let state = Rc::new(State {
-            rate,
-            ..State::default()
+        let state = Rc::new(LinkState {
+            bytes_per_second,
+            ..LinkState::default()
         });
         spawn_local(accept(listener, to, Rc::clone(&state)));
         Ok(Self { address, state })
     }
 
-    /// What is done to bytes from now on.
+    /// Sets what the link does to bytes from now on.
     pub fn set_condition(&self, condition: LinkCondition) {
         self.state.condition.set(condition);
         self.state.changed.notify_waiters();
     }
 
-    /// Ends all connections in the middle of whatever they carry.
+    /// Closes all connections, also in the middle of a request or an answer.
     pub fn reset(&self) {
         self.state.reset.notify_waiters();
     }
 }
 
-async fn accept(listener: TcpListener, to: SocketAddr, state: Rc<State>) {
+async fn accept(listener: TcpListener, to: SocketAddr, state: Rc<LinkState>) {
     loop {
         match listener.accept().await {
-            Ok((near, _)) => drop(spawn_local(carry(near, to, Rc::clone(&state)))),
-            // Files run out for a moment. A listener that ended would leave its port to some other program.
-            Err(_) => sleep(TIMER_STEP).await,
+            Ok((client, _)) => drop(spawn_local(forward_connection(
+                client,
+                to,
+                Rc::clone(&state),
+            ))),
+            // File descriptors can run out for a short time. If the listener ended, another program could get its port.
+            Err(_) => sleep(TIMER_RESOLUTION).await,
         }
     }
 }
 
-async fn carry(near: TcpStream, to: SocketAddr, state: Rc<State>) {
-    let Ok(far) = TcpStream::connect(to).await else {
+async fn forward_connection(client: TcpStream, to: SocketAddr, state: Rc<LinkState>) {
+    let Ok(server) = TcpStream::connect(to).await else {
         return;
     };
-    // Small pieces are forwarded as they come.
-    let _ = (near.set_nodelay(true), far.set_nodelay(true));
-    let (near_read, near_write) = near.into_split();
-    let (far_read, far_write) = far.into_split();
-    let questions = forward(near_read, far_write, &state, Direction::Question);
-    let answers = forward(far_read, near_write, &state, Direction::Answer);
+    // Without Nagle's algorithm, so that small chunks are forwarded as they arrive.
+    let _ = (client.set_nodelay(true), server.set_nodelay(true));
+    let (client_read, client_write) = client.into_split();
+    let (server_read, server_write) = server.into_split();
+    let requests_forwarded = forward(client_read, server_write, &state, Direction::Request);
+    let answers_forwarded = forward(server_read, client_write, &state, Direction::Answer);
     tokio::select! {
-        () = questions => {}
-        () = answers => {}
+        () = requests_forwarded => {}
+        () = answers_forwarded => {}
         () = state.reset.notified() => {}
     }
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Direction {
-    Question,
+    Request,
     Answer,
 }
 
 async fn forward(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
-    state: &State,
+    state: &LinkState,
     direction: Direction,
 ) {
-    let mut piece = vec![0; CHUNK];
-    while let Ok(read @ 1..) = from.read(&mut piece).await {
-        hold(state, direction).await;
-        pass_thin(state, direction, read).await;
-        if to.write_all(&piece[..read]).await.is_err() {
+    let mut chunk = vec![0; CHUNK_BYTES];
+    while let Ok(read @ 1..) = from.read(&mut chunk).await {
+        wait_until_forwardable(state, direction).await;
+        wait_for_bandwidth(state, direction, read).await;
+        if to.write_all(&chunk[..read]).await.is_err() {
             return;
         }
     }
 }
 
-/// Returns once a thin link has carried a piece, after those before it.
-async fn pass_thin(state: &State, direction: Direction, bytes: usize) {
-    let Some(rate) = state.rate else {
+/// Waits until the limited bandwidth has transmitted a chunk, after the chunks before it.
+async fn wait_for_bandwidth(state: &LinkState, direction: Direction, bytes: usize) {
+    let Some(bytes_per_second) = state.bytes_per_second else {
         return;
     };
-    let carried = &state.carried[direction as usize];
+    let busy_until = &state.busy_until[direction as usize];
     let now = Instant::now();
-    let begins = carried.get().map_or(now, |until| until.max(now));
+    let begin = busy_until.get().map_or(now, |until| until.max(now));
     let bytes = u32::try_from(bytes).unwrap_or(u32::MAX);
-    let ends = begins + Duration::from_secs(1) * bytes / rate;
-    carried.set(Some(ends));
-    if ends > now + TIMER_STEP {
-        sleep_until(ends.into()).await;
+    let end = begin + Duration::from_secs(1) * bytes / bytes_per_second;
+    busy_until.set(Some(end));
+    if end > now + TIMER_RESOLUTION {
+        sleep_until(end.into()).await;
     }
 }
 
-/// Returns once a piece may be forwarded.
-async fn hold(state: &State, direction: Direction) {
+/// Waits until the link's condition lets a chunk through.
+async fn wait_until_forwardable(state: &LinkState, direction: Direction) {
     loop {
         let changed = state.changed.notified();
         match state.condition.get() {
             LinkCondition::Slow(pause) => return sleep(pause).await,
-            // What is lost stays lost: its connection never gets further.
+            // Never returns: bytes after a dropped chunk must not be forwarded either.
             LinkCondition::AnswersLost if direction == Direction::Answer => pending().await,
             LinkCondition::Healthy | LinkCondition::AnswersLost => return,
             LinkCondition::Silent => changed.await,
--- a/soak/src/main.rs
+++ b/soak/src/main.rs
@@ -1,4 +1,4 @@
-//! Plays faults on real camphorturn processes.
+//! Command `camphorturn-soak`: injects random faults into real camphorturn processes.
 
 use std::process::ExitCode;
 
--- a/soak/src/report.rs
+++ b/soak/src/report.rs
@@ -1,8 +1,8 @@
-//! What a seed showed.
+//! Report on the run of one seed, as text or JSON.
 
 use crate::{
+    fault_plan::PlannedFault,
     history::{History, Violation},
-    plan::PlannedFault,
 };
 use camphorturn::local_mesh::client::CallFailure;
 use serde::Serialize;
@@ -11,78 +11,81 @@
     io::{self, Write},
 };
 
-/// What a seed showed.
+/// Result of the run of one seed. The JSON keys are those of the fields, unless renamed.
 #[derive(Clone, Debug, Serialize)]
-pub struct PlayReport {
-    /// The seed.
+pub struct SeedReport {
+    /// The seed that determined the run.
     pub seed: u64,
-    /// The faults, with their times.
+    /// The faults, each with its start and duration.
     pub faults: Vec<String>,
-    /// Requests by their end.
-    pub ends: BTreeMap<String, usize>,
-    /// Requests that upstreams ran.
-    pub runs: usize,
-    /// Promises that were broken.
+    /// Number of requests by their outcome: a status, `cut` or `not sent`.
+    #[serde(rename = "ends")]
+    pub outcomes: BTreeMap<String, usize>,
+    /// Number of requests that upstreams executed.
+    #[serde(rename = "runs")]
+    pub executions: usize,
+    /// Violations that the checks found.
     pub violations: Vec<Violation>,
 }
 
-impl PlayReport {
-    /// Sums up a history.
+impl SeedReport {
+    /// Builds the report from a run's history; `executions` is the number of requests that upstreams executed.
     #[must_use]
     pub fn build(
         seed: u64,
         faults: &[PlannedFault],
         history: &History,
-        runs: usize,
+        executions: usize,
         violations: Vec<Violation>,
     ) -> Self {
-        let mut ends = BTreeMap::new();
+        let mut outcomes = BTreeMap::new();
         for request in &history.requests {
-            let end = match &request.answer {
+            let outcome = match &request.answer {
                 Ok((status, _)) => status.to_string(),
                 Err(CallFailure::Disconnected) => "cut".to_owned(),
                 Err(CallFailure::NotSent) => "not sent".to_owned(),
             };
-            *ends.entry(end).or_insert(0) += 1;
+            *outcomes.entry(outcome).or_insert(0) += 1;
         }
         Self {
             seed,
-            faults: faults.iter().map(describe).collect(),
-            ends,
-            runs,
+            faults: faults.iter().map(format_fault).collect(),
+            outcomes,
+            executions,
             violations,
         }
     }
 
-    /// Whether no promise was broken.
+    /// Whether the checks found no violation.
     #[must_use]
     pub fn is_clean(&self) -> bool {
         self.violations.is_empty()
     }
 }
 
-fn describe(planned: &PlannedFault) -> String {
+fn format_fault(planned: &PlannedFault) -> String {
     format!(
         "{} ms for {} ms: {:?}",
-        planned.at.as_millis(),
-        planned.lasts.as_millis(),
+        planned.start.as_millis(),
+        planned.duration.as_millis(),
         planned.fault
     )
 }
 
-/// Writes a report: one line, or all there is if a promise was broken.
+/// Writes a report as one line. With violations, the faults and the violations follow, one a line. With `json`, it is one
+/// JSON object on a line.
 ///
 /// # Errors
-/// If `out` can't be written to.
-pub fn write_report(report: &PlayReport, json: bool, out: &mut dyn Write) -> io::Result<()> {
+/// If writing to `out` fails.
+pub fn write_report(report: &SeedReport, json: bool, out: &mut dyn Write) -> io::Result<()> {
     if json {
         serde_json::to_writer(&mut *out, report)?;
         return writeln!(out);
     }
-    let ends: Vec<String> = report
-        .ends
+    let outcomes: Vec<String> = report
+        .outcomes
         .iter()
-        .map(|(end, count)| format!("{count} x {end}"))
+        .map(|(outcome, count)| format!("{count} x {outcome}"))
         .collect();
     let verdict = if report.is_clean() { "clean" } else { "BROKEN" };
     writeln!(
@@ -90,8 +93,8 @@
         "seed {}: {verdict}; {} faults; {}; {} runs",
         report.seed,
         report.faults.len(),
-        ends.join(", "),
-        report.runs
+        outcomes.join(", "),
+        report.executions
     )?;
     if report.is_clean() {
         return Ok(());
@@ -99,8 +102,8 @@
     for fault in &report.faults {
         writeln!(out, "  {fault}")?;
     }
-    for Violation { promise, seen } in &report.violations {
-        writeln!(out, "  ! {promise}: {seen}")?;
+    for Violation { promise, observed } in &report.violations {
+        writeln!(out, "  ! {promise}: {observed}")?;
     }
     Ok(())
 }
--- a/soak/src/serve.rs
+++ b/soak/src/serve.rs
@@ -1,43 +1,43 @@
-//! Nodes without faults, to look at.
+//! Command `serve`: runs nodes without faults, to try requests by hand.
 
-use crate::{play::READY_PATIENCE, world::World};
+use crate::{mesh::SoakMesh, seed_run::READY_TIMEOUT};
 use std::io;
 use tokio::signal::ctrl_c;
 
-/// Runs nodes until Ctrl-C.
+/// Starts the nodes, prints their addresses and runs them until Ctrl-C.
 ///
 /// # Errors
-/// If they can't be started.
+/// If the nodes can't be started or don't become ready.
 pub async fn serve(nodes: usize) -> io::Result<()> {
-    let world = World::start(nodes, None).await?;
-    if !world.wait_ready(READY_PATIENCE).await {
+    let mesh = SoakMesh::start(nodes, None).await?;
+    if !mesh.wait_until_ready(READY_TIMEOUT).await {
         return Err(io::Error::other("the nodes did not become ready"));
     }
-    println!("{nodes} nodes on loopback, Ctrl-C ends them");
-    for machine in &world.machines {
-        let plan = &machine.plan;
+    println!("{nodes} nodes on loopback; Ctrl-C stops them");
+    for vm in &mesh.vms {
+        let plan = &vm.plan;
         println!(
-            "  n{:<3} zone {}  beside {:<8} clients {}  lines {}",
+            "  n{:<3} zone {}  service {:<8} clients {}  log {}",
             plan.number,
             plan.zone,
             plan.service,
-            machine.clients(),
-            machine.log_path().display()
+            vm.client_address(),
+            vm.log_path().display()
         );
     }
-    if let Some(first) = world.machines.first() {
+    if let Some(first) = mesh.vms.first() {
         println!(
-            "\nA request:\n  curl -i -H 'Host: shop.example' -H 'Camphorturn-Request-Id: r1' \
+            "\nSend a request:\n  curl -i -H 'Host: shop.example' -H 'Camphorturn-Request-Id: r1' \
              http://{}/look/7",
-            first.clients()
+            first.client_address()
         );
     }
     println!(
-        "What became of it:\n  cargo run --release -- explain r1 {}/*.log",
-        world.folder.display()
+        "Show what happened to it:\n  cargo run --release -- explain r1 {}/*.log",
+        mesh.folder.display()
     );
     ctrl_c().await?;
-    world.finish();
-    world.remove_folder();
+    mesh.finish();
+    mesh.remove_folder();
     Ok(())
 }
--- a/soak/tests/checks.rs
+++ b/soak/tests/checks.rs
@@ -1,9 +1,11 @@
-//! Each check finds what it is there for, and lets pass what is allowed.
+//! Each check finds its violation, and accepts what is allowed.
 
 use camphorturn::local_mesh::client::CallFailure;
 use camphorturn_soak::{
-    checks::{COLD_LIMIT, EVACUATED_BOUND, IN_FORCE_BOUND, find_violations},
-    history::{Acknowledged, CallerRecord, ColdTime, Disturbance, Evacuation, Hindrance, History},
+    checks::{EVACUATION_LIMIT, IN_FORCE_LIMIT, WARMUP_REQUESTS_PER_SECOND, find_violations},
+    history::{
+        Acknowledged, CallerRecord, Disturbance, Evacuation, History, UpdateOutage, UpstreamPeriod,
+    },
 };
 use camphorturn_stand_ins::upstream::ExecutedRequest;
 use std::time::{Duration, Instant};
@@ -17,7 +19,7 @@
 ) -> CallerRecord {
     CallerRecord {
         node: 1,
-        node_run: 1,
+        node_incarnation: 1,
         target: target.to_owned(),
         idempotent: !target.starts_with("/book/"),
         route_version: 0,
@@ -27,7 +29,7 @@
     }
 }
 
-fn ran(target: &str, executed_at: Instant) -> ExecutedRequest {
+fn executed(target: &str, executed_at: Instant) -> ExecutedRequest {
     ExecutedRequest {
         target: target.to_owned(),
         instance: "u1-1".to_owned(),
@@ -36,12 +38,12 @@
     }
 }
 
-fn check(history: &History, runs: &[ExecutedRequest]) -> Vec<&'static str> {
-    let found = find_violations(history, runs);
+fn check(history: &History, executions: &[ExecutedRequest]) -> Vec<&'static str> {
+    let found = find_violations(history, executions);
     found.iter().map(|violation| violation.promise).collect()
 }
 
-/// Checks one request that ran `times` times.
+/// Checks the history of one request that upstreams executed `times` times.
 fn check_one(
     target: &str,
     answer: Result<(u16, &str), CallFailure>,
@@ -53,7 +55,7 @@
         requests: vec![request(target, answer, now)],
         ..History::default()
     };
-    check(&history, &vec![ran(target, now); times])
+    check(&history, &vec![executed(target, now); times])
 }
 
 #[test]
@@ -78,9 +80,9 @@
         check_one("/book/1", Ok((503, "")), 1),
         ["refused means not run"]
     );
-    let foreign = Ok((200, "GET /look/2\n"));
+    let other = Ok((200, "GET /look/2\n"));
     assert_eq!(
-        check_one("/look/1", foreign, 1),
+        check_one("/look/1", other, 1),
         ["an answer is the one to its request"]
     );
     let invented = Ok((200, "GET /look/1\n"));
@@ -103,9 +105,9 @@
 }
 
 #[test]
-fn check_unasked() {
+fn check_unrequested() {
     let now = Instant::now();
-    let found = check(&History::default(), &[ran("/look/9", now)]);
+    let found = check(&History::default(), &[executed("/look/9", now)]);
     assert_eq!(found, ["upstreams run what callers asked"]);
 }
 
@@ -122,7 +124,7 @@
         }],
         ..History::default()
     };
-    check(&history, &[ran("/look/1", now)])
+    check(&history, &[executed("/look/1", now)])
 }
 
 #[test]
@@ -143,22 +145,22 @@
         )],
         acknowledged: vec![Acknowledged::Leaving {
             instance: "u1-1".to_owned(),
-            born: 1,
+            incarnation_started_ms: 1,
             at: now,
         }],
         ..History::default()
     };
-    let found = check(&history, &[ran("/look/1", late)]);
+    let found = check(&history, &[executed("/look/1", late)]);
     assert_eq!(found, ["a leaving upstream gets no work"]);
     assert_eq!(
-        check(&history, &[ran("/look/1", now + MILLISECOND)]),
+        check(&history, &[executed("/look/1", now + MILLISECOND)]),
         [""; 0]
     );
-    let started_again = ExecutedRequest {
+    let after_restart = ExecutedRequest {
         incarnation_started_ms: 2,
-        ..ran("/look/1", late)
+        ..executed("/look/1", late)
     };
-    assert_eq!(check(&history, &[started_again]), [""; 0]);
+    assert_eq!(check(&history, &[after_restart]), [""; 0]);
 }
 
 #[test]
@@ -176,20 +178,20 @@
         requests: vec![served.clone(), denied],
         ..History::default()
     };
-    let runs = [ran("/v2/1", now)];
+    let executions = [executed("/v2/1", now)];
     assert_eq!(
-        check(&history(denied.clone()), &runs),
+        check(&history(denied.clone()), &executions),
         ["a configuration never reverts"]
     );
     let after_restart = CallerRecord {
-        node_run: 2,
+        node_incarnation: 2,
         ..denied
     };
-    assert_eq!(check(&history(after_restart), &runs), [""; 0]);
+    assert_eq!(check(&history(after_restart), &executions), [""; 0]);
 }
 
-/// A node denies a route of a change so long after it.
-fn check_denied(after: Duration, hindrances: &[Hindrance]) -> Vec<&'static str> {
+/// Checks a node that answers 404 for a route `after` the change that added the route.
+fn check_denied(after: Duration, update_outages: &[UpdateOutage]) -> Vec<&'static str> {
     let at = Instant::now();
     let answer = Ok((404, String::new()));
     let denied = CallerRecord {
@@ -202,7 +204,7 @@
             route_version: 1,
             at,
         }],
-        hindrances: hindrances.to_vec(),
+        update_outages: update_outages.to_vec(),
         ..History::default()
     };
     check(&history, &[])
@@ -210,26 +212,26 @@
 
 #[test]
 fn check_change_denied_too_long() {
-    let broken = ["an acknowledged change is in force in time"];
-    assert_eq!(check_denied(IN_FORCE_BOUND / 2, &[]), [""; 0]);
-    assert_eq!(check_denied(IN_FORCE_BOUND + MILLISECOND, &[]), broken);
-    // The same for a node that was hindered until twice the bound, and for one that was not.
+    let violation = ["an acknowledged change is in force in time"];
+    assert_eq!(check_denied(IN_FORCE_LIMIT / 2, &[]), [""; 0]);
+    assert_eq!(check_denied(IN_FORCE_LIMIT + MILLISECOND, &[]), violation);
+    // An outage until twice the limit excuses the node itself (`None`: every node), but no other node.
     let from = Instant::now();
-    let to = from + 2 * IN_FORCE_BOUND;
-    for (node, shortly_after) in [(None, &[][..]), (Some(1), &[]), (Some(2), &broken)] {
-        let hindered = [Hindrance { node, from, to }];
-        assert_eq!(check_denied(2 * IN_FORCE_BOUND, &hindered), shortly_after);
-        assert_eq!(check_denied(4 * IN_FORCE_BOUND, &hindered), broken);
+    let to = from + 2 * IN_FORCE_LIMIT;
+    for (node, shortly_after) in [(None, &[][..]), (Some(1), &[]), (Some(2), &violation)] {
+        let outages = [UpdateOutage { node, from, to }];
+        assert_eq!(check_denied(2 * IN_FORCE_LIMIT, &outages), shortly_after);
+        assert_eq!(check_denied(4 * IN_FORCE_LIMIT, &outages), violation);
     }
 }
 
-/// The promise, when a request runs in the zone so long after it was evacuated, which lasts for 8 s.
-fn check_evacuated(after: Duration, hinders: Option<Hindrance>) -> Vec<&'static str> {
+/// Checks a request that is executed in a zone `after` the start of the zone's evacuation, which lasts for 8 s.
+fn check_evacuated(after: Duration, outage: Option<UpdateOutage>) -> Vec<&'static str> {
     let from = Instant::now();
     let target = "/look/1";
     let history = History {
         requests: vec![request(target, Ok((200, target.to_owned())), from)],
-        hindrances: hinders.into_iter().collect(),
+        update_outages: outage.into_iter().collect(),
         evacuations: vec![Evacuation {
             zone: 0,
             from,
@@ -237,82 +239,89 @@
         }],
         ..History::default()
     };
-    check(&history, &[ran(target, from + after)])
+    check(&history, &[executed(target, from + after)])
 }
 
 #[test]
 fn check_evacuated_zone() {
-    let broken = ["an evacuated zone gets no work"];
-    assert!(check_evacuated(EVACUATED_BOUND, None).is_empty());
-    let late = EVACUATED_BOUND + MILLISECOND;
-    assert_eq!(check_evacuated(late, None), broken);
+    let violation = ["an evacuated zone gets no work"];
+    assert!(check_evacuated(EVACUATION_LIMIT, None).is_empty());
+    let late = EVACUATION_LIMIT + MILLISECOND;
+    assert_eq!(check_evacuated(late, None), violation);
     assert!(check_evacuated(Duration::from_secs(9), None).is_empty());
     let now = Instant::now();
-    let hindrance = |node| Hindrance {
+    let outage = |node| UpdateOutage {
         node,
         from: now,
         to: now + late,
     };
-    assert!(check_evacuated(late, Some(hindrance(Some(1)))).is_empty());
-    assert_eq!(check_evacuated(late, Some(hindrance(Some(2)))), broken);
+    assert!(check_evacuated(late, Some(outage(Some(1)))).is_empty());
+    assert_eq!(check_evacuated(late, Some(outage(Some(2)))), violation);
 }
 
-/// The promise, when so many requests run in the last second in which an upstream is cold.
-fn check_cold(runs: usize, held_up: Vec<ColdTime>) -> Vec<&'static str> {
+/// Checks an upstream that executes this number of requests in the last second of its warm-up.
+fn check_warmup(executions: usize, delayed_links: Vec<UpstreamPeriod>) -> Vec<&'static str> {
     let from = Instant::now();
     let target = "/look/1";
     let history = History {
         requests: vec![request(target, Ok((200, target.to_owned())), from)],
-        cold_times: vec![ColdTime {
+        warmups: vec![UpstreamPeriod {
             node: 1,
             from,
             to: from + Duration::from_secs(3),
         }],
-        held_up,
+        delayed_links,
         ..History::default()
     };
     let at = from + Duration::from_millis(2_500);
-    check(&history, &vec![ran(target, at); runs])
+    check(&history, &vec![executed(target, at); executions])
 }
 
 #[test]
-fn check_cold_upstream() {
-    assert!(check_cold(COLD_LIMIT, Vec::new()).is_empty());
-    let broken = ["a cold upstream gets what it tolerates"];
-    assert_eq!(check_cold(COLD_LIMIT + 1, Vec::new()), broken);
+fn check_warmup_limit() {
+    assert!(check_warmup(WARMUP_REQUESTS_PER_SECOND, Vec::new()).is_empty());
+    let violation = ["a cold upstream gets what it tolerates"];
+    assert_eq!(
+        check_warmup(WARMUP_REQUESTS_PER_SECOND + 1, Vec::new()),
+        violation
+    );
     let from = Instant::now();
-    let held_up = |node| ColdTime {
+    let delay = |node| UpstreamPeriod {
         node,
         from,
         to: from + Duration::from_secs(1),
     };
-    assert!(check_cold(COLD_LIMIT + 1, vec![held_up(1)]).is_empty());
-    assert_eq!(check_cold(COLD_LIMIT + 1, vec![held_up(2)]), broken);
+    assert!(check_warmup(WARMUP_REQUESTS_PER_SECOND + 1, vec![delay(1)]).is_empty());
+    assert_eq!(
+        check_warmup(WARMUP_REQUESTS_PER_SECOND + 1, vec![delay(2)]),
+        violation
+    );
 }
 
-/// The promise, when a request crashes one upstream every half second, `hinders` keeps the node from hearing of it, and it runs
-/// `runs` times.
-fn check_crashing(runs: u32, hinders: Option<Hindrance>) -> Vec<&'static str> {
+/// Checks a request that crashes one upstream every half second, `executions` times, while the node may have an outage.
+fn check_crashing(executions: u32, outage: Option<UpdateOutage>) -> Vec<&'static str> {
     let began = Instant::now();
     let target = "/look/crash-1";
     let at = |number: u32| began + Duration::from_millis(500) * number;
     let history = History {
         requests: vec![request(target, Ok((502, String::new())), began)],
-        hindrances: hinders.into_iter().collect(),
+        update_outages: outage.into_iter().collect(),
         ..History::default()
     };
-    let runs: Vec<ExecutedRequest> = (0..runs).map(|number| ran(target, at(number))).collect();
-    check(&history, &runs)
+    let executions: Vec<ExecutedRequest> = (0..executions)
+        .map(|number| executed(target, at(number)))
+        .collect();
+    check(&history, &executions)
 }
 
 #[test]
 fn check_crashing_request_allowed() {
-    // The third runs at 1 s, those until 4 s are before every node has heard of it, and three more are allowed.
+    // The third execution is at 1 s. Until 4 s not every node need know of the crashes, and three later executions are allowed.
     assert!(check_crashing(12, None).is_empty());
 }
 
 #[test]
-fn check_crashing_request_found() {
+fn check_crashing_request_broken() {
     assert_eq!(
         check_crashing(13, None),
         ["what crashes upstreams is kept from them"]
@@ -320,14 +329,14 @@
 }
 
 #[test]
-fn check_crashing_request_out_of_touch() {
+fn check_crashing_request_disconnected() {
     let now = Instant::now();
-    let hindrance = |node| Hindrance {
+    let outage = |node| UpdateOutage {
         node,
         from: now,
         to: now + Duration::from_secs(20),
     };
-    assert!(check_crashing(30, Some(hindrance(None))).is_empty());
-    assert!(check_crashing(30, Some(hindrance(Some(1)))).is_empty());
-    assert_eq!(check_crashing(30, Some(hindrance(Some(2)))).len(), 1);
+    assert!(check_crashing(30, Some(outage(None))).is_empty());
+    assert!(check_crashing(30, Some(outage(Some(1)))).is_empty());
+    assert_eq!(check_crashing(30, Some(outage(Some(2)))).len(), 1);
 }
--- a/soak/tests/plan.rs
+++ b/soak/tests/fault_plan.rs
@@ -1,8 +1,8 @@
-//! What a seed draws.
+//! Faults that a seed draws, and malformed documents.
 
 use camphorturn_soak::{
-    foreign::{Damage, damage},
-    plan::{Fault, draw_faults},
+    corruption::{Corruption, corrupt},
+    fault_plan::{Fault, draw_faults},
 };
 use serde_json::Value;
 use std::time::Duration;
@@ -16,11 +16,11 @@
 }
 
 #[test]
-fn draw_faults_every_kind_in_order() {
-    let (mut foreign, mut crashes, mut returns) = (0, 0, 0);
+fn draw_faults_order_and_kinds() {
+    let (mut corruptions, mut crashes, mut restores) = (0, 0, 0);
     for seed in 0..20 {
         let faults = draw_faults(seed, SPAN, 6);
-        assert!(faults.is_sorted_by_key(|fault| fault.at));
+        assert!(faults.is_sorted_by_key(|fault| fault.start));
         let mut kinds = faults.iter().map(|planned| planned.fault);
         assert!(
             kinds.any(|fault| matches!(fault, Fault::Grow(300..))),
@@ -28,24 +28,24 @@
         );
         assert!(kinds.any(|fault| fault == Fault::Configure), "seed {seed}");
         for planned in faults {
-            foreign += usize::from(matches!(planned.fault, Fault::Foreign(..)));
+            corruptions += usize::from(matches!(planned.fault, Fault::Foreign(..)));
             crashes += usize::from(matches!(planned.fault, Fault::Crash(_)));
-            returns += usize::from(matches!(planned.fault, Fault::StoreReturns(_)));
+            restores += usize::from(matches!(planned.fault, Fault::StoreReturns(_)));
         }
     }
     assert!(
-        foreign > 0 && crashes > 0 && returns > 0,
-        "{foreign}, {crashes}, {returns}"
+        corruptions > 0 && crashes > 0 && restores > 0,
+        "{corruptions}, {crashes}, {restores}"
     );
 }
 
 #[test]
-fn damage_field() {
-    let proper = r#"{"a":1,"b":"x"}"#;
+fn corrupt_field() {
+    let document = r#"{"a":1,"b":"x"}"#;
     let read = |bytes: Vec<u8>| serde_json::from_slice::<Value>(&bytes).ok();
-    let missing = damage(proper, Damage::Missing(2));
+    let missing = corrupt(document, Corruption::Missing(2));
     assert_eq!(read(missing), serde_json::from_str(r#"{"b":"x"}"#).ok());
-    let other = damage(proper, Damage::OtherType(1));
+    let other = corrupt(document, Corruption::OtherType(1));
     assert_eq!(read(other), serde_json::from_str(r#"{"a":1,"b":7}"#).ok());
-    assert_eq!(read(damage(proper, Damage::Unreadable)), None);
+    assert_eq!(read(corrupt(document, Corruption::Unreadable)), None);
 }
--- a/soak/tests/short.rs
+++ b/soak/tests/short.rs
@@ -1,10 +1,10 @@
-//! A short soak on real processes, the same faults on every run.
+//! Short soaks on real processes, with the same faults on every run.
 
 use std::process::Command;
 
 const TOOL: &str = env!("CARGO_BIN_EXE_camphorturn-soak");
 
-fn play(seed: &str) {
+fn run_seed(seed: &str) {
     let output = Command::new(TOOL)
         .args(["run", "--seed", seed, "--seconds", "4", "--nodes", "4"])
         .output()
@@ -19,11 +19,11 @@
 }
 
 #[test]
-fn play_short_seed() {
-    play("7");
+fn run_short_seed() {
+    run_seed("7");
 }
 
 #[test]
-fn play_short_seed_with_thin_links() {
-    play("8");
+fn run_short_seed_with_slow_links() {
+    run_seed("8");
 }
