--- a/stand-ins/src/http.rs
+++ b/stand-ins/src/http.rs
@@ -1,5 +1,4 @@
-//! Requests read from, and bytes written to, a plain socket: stand-ins also send what no library
-//! would.
+//! HTTP/1.1 over plain sockets, without a library: stand-ins also send malformed answers.
 
 use bytes::Bytes;
 use std::{fmt::Write, io};
@@ -8,31 +7,31 @@
     net::TcpStream,
 };
 
-/// Largest head, in bytes.
-const HEAD_LIMIT: usize = 64 * 1024;
+/// Largest head of a request.
+const MAX_HEAD_BYTES: usize = 64 * 1024;
 
-/// A request with its whole body.
+/// A request with its complete body.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PlainRequest {
-    /// Method.
+    /// Method, as in the request line.
     pub method: String,
-    /// Path and query.
+    /// Request target: path and query.
     pub target: String,
-    /// Names in lower case, and values.
+    /// Header names in lower case and their values, in the order received.
     pub headers: Vec<(String, String)>,
-    /// Body.
+    /// Body; empty without a `content-length`.
     pub body: Bytes,
 }
 
 impl PlainRequest {
-    /// The first value of a header.
+    /// The first value of a header. `name` must be in lower case.
     #[must_use]
     pub fn header(&self, name: &str) -> Option<&str> {
         let found = self.headers.iter().find(|(known, _)| known == name);
         found.map(|(_, value)| value.as_str())
     }
 
-    /// The value of a parameter of the query.
+    /// The value of a query parameter, not percent-decoded.
     #[must_use]
     pub fn parameter(&self, name: &str) -> Option<&str> {
         let (_, query) = self.target.split_once('?')?;
@@ -50,10 +49,10 @@
     }
 }
 
-/// Reads the next request of a connection; none if it ended before.
+/// Reads the next request of a connection; none if the connection ended before its head was complete.
 ///
 /// # Errors
-/// If the connection breaks within a request, or the request is malformed.
+/// If the connection fails or ends within a body, or the request is malformed.
 pub async fn read_request(stream: &mut TcpStream) -> io::Result<Option<PlainRequest>> {
     let mut head = Vec::new();
     while !head.ends_with(b"\r\n\r\n") {
@@ -62,7 +61,7 @@
             return Ok(None);
         }
         head.push(byte[0]);
-        if head.len() > HEAD_LIMIT {
+        if head.len() > MAX_HEAD_BYTES {
             return Err(io::Error::other("head too large"));
         }
     }
@@ -92,12 +91,12 @@
     Some(request)
 }
 
-/// An answer with its length.
+/// Builds an answer with a `content-length`.
 #[must_use]
 pub fn build_answer(status: u16, headers: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
     let mut answer = format!("HTTP/1.1 {status} -\r\ncontent-length: {}\r\n", body.len());
     for (name, value) in headers {
-        // Writing to a string never fails.
+        // Writing to a `String` never fails.
         let _ = write!(answer, "{name}: {value}\r\n");
     }
     answer.push_str("\r\n");
@@ -106,10 +105,10 @@
     bytes
 }
 
-/// Writes bytes as they are.
+/// Writes bytes without changes.
 ///
 /// # Errors
-/// If the connection breaks.
+/// If the connection fails.
 pub async fn write_all(stream: &mut TcpStream, bytes: &[u8]) -> io::Result<()> {
     stream.write_all(bytes).await
 }
--- a/stand-ins/src/lib.rs
+++ b/stand-ins/src/lib.rs
@@ -1,4 +1,5 @@
-//! Stand-ins for the systems that camphorturn meets: the platform's store and upstreams.
+//! Stand-ins for the systems that camphorturn talks to: the platform's store and upstreams. Tests, `camphorturn dev` and the
+//! soak use them.
 
 pub mod http;
 pub mod store;
--- a/stand-ins/src/store.rs
+++ b/stand-ins/src/store.rs
@@ -1,4 +1,5 @@
-//! The platform's metadata store: keyed topics of one partition, newest records, long reads.
+//! Stand-in for the platform's metadata store: topics of keyed records with appends, reads of each key's newest record, and
+//! reads from an offset that wait for newer records.
 
 use crate::http::{PlainRequest, build_answer, read_request, write_all};
 use bytes::Bytes;
@@ -19,29 +20,30 @@
     time::{sleep, timeout},
 };
 
-/// Bytes of records after which an answer to a read ends, as on the platform; one record it always holds.
-const READ_LIMIT: usize = 1_000_000;
+/// Size after which no further record is added to the answer to a read, as on the platform. An answer always holds at least
+/// one record if there is one.
+const READ_LIMIT_BYTES: usize = 1_000_000;
 
-/// Pause after a connection that could not be taken.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(1);
+/// Delay before the next attempt after a connection could not be accepted.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(1);
 
-/// How the store treats calls.
+/// How the store treats calls. The soak's reports print the variants' names.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum StoreCondition {
-    /// It answers.
+    /// Answers.
     #[default]
     Healthy,
-    /// It answers 503 and does nothing.
+    /// Answers 503 and does nothing.
     Busy,
-    /// It closes connections without an answer, having done nothing.
+    /// Closes connections without an answer and does nothing.
     Reset,
-    /// It says nothing.
+    /// Never answers and does nothing; connections stay open.
     Silent,
-    /// It does what it is asked and closes the connection without an answer.
+    /// Executes calls and closes the connection without an answer.
     LosesAnswers,
-    /// It answers after a pause.
+    /// Answers after a delay.
     Slow(Duration),
-    /// It closes connections without an answer, and does what it was asked after a pause.
+    /// Closes connections without an answer, and executes their calls after a delay.
     ActsLate(Duration),
 }
 
@@ -51,43 +53,43 @@
     value: Bytes,
 }
 
-/// The records of a store at one moment.
+/// All records of a store at one point in time.
 pub struct StoreSnapshot(HashMap<String, Vec<Record>>);
 
-/// A record that a store lost when it came back from a copy.
+/// A record that was appended after a snapshot and lost when the store was restored from it.
 #[derive(Clone, Debug)]
 pub struct LostRecord {
-    /// Its topic.
+    /// Topic of the record.
     pub topic: String,
-    /// Its key.
+    /// Key of the record.
     pub key: String,
-    /// Its value; empty if it dropped the key.
+    /// Value of the record; empty if the record deleted the key.
     pub value: Bytes,
 }
 
 #[derive(Default)]
-struct State {
+struct StoreState {
     condition: Cell<StoreCondition>,
-    /// Records before this offset have been deleted, of every topic.
-    first: Cell<usize>,
-    /// Clients that are turned away.
-    refused: RefCell<Vec<IpAddr>>,
+    /// In every topic, records before this offset have been compacted away and can't be read by offset.
+    first_offset: Cell<usize>,
+    /// Clients whose calls are answered with 503.
+    refused_clients: RefCell<Vec<IpAddr>>,
     topics: RefCell<HashMap<String, Vec<Record>>>,
-    calls: Cell<u32>,
-    /// By path and topic.
-    calls_by_kind: RefCell<HashMap<(String, String), u32>>,
+    call_count: Cell<u32>,
+    /// Number of calls by path and topic.
+    call_counts: RefCell<HashMap<(String, String), u32>>,
     appended: Notify,
-    /// How often it has come back from a copy, counted from 1.
-    era: Cell<u64>,
-    /// Wakes the reads that were under way when it came back.
-    returned: Notify,
+    /// Epoch of the store: 1, and one more with each restore from a snapshot.
+    epoch: Cell<u64>,
+    /// Wakes the calls in progress when the store is restored.
+    restored: Notify,
 }
 
-/// A store on a free port of the loopback address, run by tasks of the present event loop.
+/// A store on a free port of the loopback address. Its tasks run on the current `LocalSet`.
 pub struct StandInStore {
-    /// Where it listens.
+    /// Address on which the store listens.
     pub address: SocketAddr,
-    state: Rc<State>,
+    state: Rc<StoreState>,
 }
 
 impl StandInStore {
@@ -98,64 +100,64 @@
     pub async fn start() -> io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
-        let state = Rc::new(State {
-            era: Cell::new(1),
-            ..State::default()
+        let state = Rc::new(StoreState {
+            epoch: Cell::new(1),
+            ..StoreState::default()
         });
-        spawn_local(accept(listener, Rc::clone(&state)));
+        spawn_local(accept_connections(listener, Rc::clone(&state)));
         Ok(Self { address, state })
     }
 
-    /// How calls are treated from now on.
+    /// Sets how calls are treated from now on.
     pub fn set_condition(&self, condition: StoreCondition) {
         self.state.condition.set(condition);
     }
 
-    /// Turns the clients at these addresses away with 503 from now on, and no others.
+    /// Answers calls from these addresses with 503 from now on, and from no others.
     pub fn refuse_clients(&self, clients: &[IpAddr]) {
-        *self.state.refused.borrow_mut() = clients.to_vec();
+        *self.state.refused_clients.borrow_mut() = clients.to_vec();
     }
 
-    /// How calls are treated now.
+    /// How calls are treated at present.
     #[must_use]
     pub fn condition(&self) -> StoreCondition {
         self.state.condition.get()
     }
 
-    /// Appends a record, as the operator does.
+    /// Appends a record with a text as its value, as an operator does.
     pub fn put(&self, topic: &str, key: &str, value: &str) {
         self.put_bytes(topic, key, value.as_bytes());
     }
 
-    /// Appends a record of any bytes, as some other writer may.
+    /// Appends a record with any bytes as its value, as a faulty writer may.
     pub fn put_bytes(&self, topic: &str, key: &str, value: &[u8]) {
         append(&self.state, topic, key, Bytes::copy_from_slice(value));
     }
 
-    /// Drops a key, as the operator does.
+    /// Deletes a key by appending a record with an empty value, as an operator does.
     pub fn delete_key(&self, topic: &str, key: &str) {
         self.put_bytes(topic, key, &[]);
     }
 
-    /// Deletes the records that were appended so far; the newest of each key stays.
+    /// Compacts all topics: records appended so far can't be read by offset any more, but the newest record of each key stays.
     pub fn compact_history(&self) {
         let topics = self.state.topics.borrow();
         let longest = topics.values().map(Vec::len).max().unwrap_or(0);
-        self.state.first.set(longest);
+        self.state.first_offset.set(longest);
     }
 
-    /// Copies all records.
+    /// Takes a snapshot of all records.
     #[must_use]
     pub fn take_snapshot(&self) -> StoreSnapshot {
         StoreSnapshot(self.state.topics.borrow().clone())
     }
 
-    /// Comes back from a copy: what was appended since is lost, its offsets are given out again, and calls under way end without an
-    /// answer. Returns what was lost, by topic in the order of the log.
-    pub fn restore_snapshot(&self, copy: StoreSnapshot) -> Vec<LostRecord> {
-        let before = self.state.topics.replace(copy.0);
-        self.state.era.update(|era| era + 1);
-        self.state.returned.notify_waiters();
+    /// Restores a snapshot and starts a new epoch. Records appended since the snapshot are lost, their offsets are assigned
+    /// again, and calls in progress end without an answer. Returns the lost records, those of a topic in the order of its log.
+    pub fn restore_snapshot(&self, snapshot: StoreSnapshot) -> Vec<LostRecord> {
+        let before = self.state.topics.replace(snapshot.0);
+        self.state.epoch.update(|epoch| epoch + 1);
+        self.state.restored.notify_waiters();
         let kept = self.state.topics.borrow();
         let mut lost = Vec::new();
         for (topic, records) in before {
@@ -169,7 +171,7 @@
         lost
     }
 
-    /// The newest value of a key; empty if the key was dropped.
+    /// The newest value of a key: none if the key was never written, empty if it was deleted.
     #[must_use]
     pub fn newest_value(&self, topic: &str, key: &str) -> Option<String> {
         let topics = self.state.topics.borrow();
@@ -180,22 +182,23 @@
         Some(String::from_utf8_lossy(&record.value).into_owned())
     }
 
-    /// Calls taken so far.
+    /// Number of calls received so far.
     #[must_use]
     pub fn call_count(&self) -> u32 {
-        self.state.calls.get()
+        self.state.call_count.get()
     }
 
-    /// Calls of one path about one topic, taken so far.
+    /// Number of calls of one path for one topic received so far.
     #[must_use]
     pub fn count_calls(&self, path: &str, topic: &str) -> u32 {
         let key = (path.to_owned(), topic.to_owned());
-        let calls = self.state.calls_by_kind.borrow();
-        calls.get(&key).copied().unwrap_or(0)
+        let call_counts = self.state.call_counts.borrow();
+        call_counts.get(&key).copied().unwrap_or(0)
     }
 }
 
-fn append(state: &State, topic: &str, key: &str, value: Bytes) -> usize {
+/// Appends a record and returns the topic's end, the offset after it.
+fn append(state: &StoreState, topic: &str, key: &str, value: Bytes) -> usize {
     let mut topics = state.topics.borrow_mut();
     let records = topics.entry(topic.to_owned()).or_default();
     records.push(Record {
@@ -206,74 +209,77 @@
     records.len()
 }
 
-async fn accept(listener: TcpListener, state: Rc<State>) {
+async fn accept_connections(listener: TcpListener, state: Rc<StoreState>) {
     loop {
         match listener.accept().await {
             Ok((stream, client)) => {
-                spawn_local(serve(stream, client.ip(), Rc::clone(&state)));
+                spawn_local(serve_connection(stream, client.ip(), Rc::clone(&state)));
             }
-            // Files run out for a moment. A listener that ended would leave its port to some other program.
-            Err(_) => sleep(ACCEPT_PAUSE).await,
+            // File descriptors can run out for a short time. If the listener ended, another program could get its port.
+            Err(_) => sleep(ACCEPT_RETRY_DELAY).await,
         }
     }
 }
 
-async fn serve(mut stream: TcpStream, client: IpAddr, state: Rc<State>) {
+async fn serve_connection(mut stream: TcpStream, client: IpAddr, state: Rc<StoreState>) {
     while let Ok(Some(request)) = read_request(&mut stream).await {
         count_call(&state, &request);
-        let era = state.era.get();
-        let is_refused = state.refused.borrow().contains(&client);
+        let epoch = state.epoch.get();
+        let is_refused = state.refused_clients.borrow().contains(&client);
         let answer = match state.condition.get() {
             _ if is_refused => build_answer(503, &[], b"refused"),
             StoreCondition::Healthy => {
-                let returned = state.returned.notified();
+                let restored = state.restored.notified();
                 tokio::select! {
-                    answer = answer(&request, &state) => answer,
-                    () = returned => return,
+                    answer = answer_call(&request, &state) => answer,
+                    () = restored => return,
                 }
             }
             StoreCondition::Busy => build_answer(503, &[], b"busy"),
             StoreCondition::Reset => return,
             StoreCondition::Silent => pending().await,
             StoreCondition::LosesAnswers => {
-                answer(&request, &state).await;
+                answer_call(&request, &state).await;
                 return;
             }
-            StoreCondition::Slow(pause) => {
-                sleep(pause).await;
-                answer(&request, &state).await
+            StoreCondition::Slow(delay) => {
+                sleep(delay).await;
+                answer_call(&request, &state).await
             }
-            StoreCondition::ActsLate(pause) => {
+            StoreCondition::ActsLate(delay) => {
                 spawn_local(async move {
-                    sleep(pause).await;
-                    answer(&request, &state).await;
+                    sleep(delay).await;
+                    answer_call(&request, &state).await;
                 });
                 return;
             }
         };
-        if write_all(&mut stream, &add_era(answer, era)).await.is_err() {
+        if write_all(&mut stream, &add_epoch_header(answer, epoch))
+            .await
+            .is_err()
+        {
             return;
         }
     }
 }
 
-/// Adds the era of the store to an answer.
-fn add_era(mut answer: Vec<u8>, era: u64) -> Vec<u8> {
-    let header = format!("store-era: {era}\r\n");
+/// Adds the header with the store's epoch to an answer.
+fn add_epoch_header(mut answer: Vec<u8>, epoch: u64) -> Vec<u8> {
+    let header = format!("store-era: {epoch}\r\n");
     let start = answer.iter().position(|byte| *byte == b'\n');
     let start = start.map_or(0, |end| end + 1);
     answer.splice(start..start, header.into_bytes());
     answer
 }
 
-fn count_call(state: &State, request: &PlainRequest) {
-    state.calls.set(state.calls.get() + 1);
+fn count_call(state: &StoreState, request: &PlainRequest) {
+    state.call_count.set(state.call_count.get() + 1);
     let topic = request.parameter("topic").unwrap_or_default();
     let key = (request.path().to_owned(), topic.to_owned());
-    *state.calls_by_kind.borrow_mut().entry(key).or_default() += 1;
+    *state.call_counts.borrow_mut().entry(key).or_default() += 1;
 }
 
-async fn answer(request: &PlainRequest, state: &State) -> Vec<u8> {
+async fn answer_call(request: &PlainRequest, state: &StoreState) -> Vec<u8> {
     let topic = request.parameter("topic").unwrap_or_default();
     match request.path() {
         "/-/log-append" => answer_append(request, topic, state),
@@ -283,8 +289,8 @@
     }
 }
 
-fn answer_append(request: &PlainRequest, topic: &str, state: &State) -> Vec<u8> {
-    let Some((key, value)) = decode(&request.body) else {
+fn answer_append(request: &PlainRequest, topic: &str, state: &StoreState) -> Vec<u8> {
+    let Some((key, value)) = decode_record(&request.body) else {
         return build_answer(400, &[], b"malformed record");
     };
     let end = state.topics.borrow().get(topic).map_or(0, Vec::len);
@@ -298,8 +304,8 @@
     build_answer(200, &[], text.as_bytes())
 }
 
-/// One record: its length, the length of its key, key and value.
-fn decode(body: &[u8]) -> Option<(String, Bytes)> {
+/// Decodes a record: its length (4 bytes), the length of its key (1 byte), key and value. None if it is malformed.
+fn decode_record(body: &[u8]) -> Option<(String, Bytes)> {
     let (length, record) = body.split_first_chunk::<4>()?;
     if usize::try_from(u32::from_be_bytes(*length)).ok()? != record.len() {
         return None;
@@ -310,7 +316,7 @@
     Some((key, Bytes::copy_from_slice(value)))
 }
 
-fn answer_newest(topic: &str, state: &State) -> Vec<u8> {
+fn answer_newest(topic: &str, state: &StoreState) -> Vec<u8> {
     let topics = state.topics.borrow();
     let records = topics.get(topic).map(Vec::as_slice).unwrap_or_default();
     let mut items = Vec::new();
@@ -327,37 +333,38 @@
     build_answer(200, &[], page.as_bytes())
 }
 
-async fn answer_read(request: &PlainRequest, topic: &str, state: &State) -> Vec<u8> {
+async fn answer_read(request: &PlainRequest, topic: &str, state: &StoreState) -> Vec<u8> {
     let number = |name| request.parameter(name).and_then(|text| text.parse().ok());
     let from: usize = number("from").unwrap_or(0);
-    if from < state.first.get() {
-        let text = json!({ "first": state.first.get() }).to_string();
+    if from < state.first_offset.get() {
+        let text = json!({ "first": state.first_offset.get() }).to_string();
         return build_answer(410, &[], text.as_bytes());
     }
     if from > state.topics.borrow().get(topic).map_or(0, Vec::len) {
-        let text = json!({ "first": state.first.get() }).to_string();
+        let text = json!({ "first": state.first_offset.get() }).to_string();
         return build_answer(410, &[], text.as_bytes());
     }
     let wait = Duration::from_millis(u64::try_from(number("wait_ms").unwrap_or(0)).unwrap_or(0));
-    let has_news = || state.topics.borrow().get(topic).map_or(0, Vec::len) > from;
-    let news = async {
-        while !has_news() {
+    let has_newer_record = || state.topics.borrow().get(topic).map_or(0, Vec::len) > from;
+    let newer_record = async {
+        while !has_newer_record() {
             state.appended.notified().await;
         }
     };
-    // Without news in time the answer holds no records.
-    let _ = timeout(wait, news).await;
+    // If no newer record arrives in time, the answer holds no records.
+    let _ = timeout(wait, newer_record).await;
     build_answer(200, &[], &encode_records(topic, from, state))
 }
 
-fn encode_records(topic: &str, from: usize, state: &State) -> Vec<u8> {
+/// Encodes the topic's end and first offset (8 bytes each) and the records from offset `from` on.
+fn encode_records(topic: &str, from: usize, state: &StoreState) -> Vec<u8> {
     let topics = state.topics.borrow();
     let records = topics.get(topic).map(Vec::as_slice).unwrap_or_default();
     let mut body = Vec::new();
     body.extend_from_slice(&(records.len() as u64).to_be_bytes());
-    body.extend_from_slice(&(state.first.get() as u64).to_be_bytes());
+    body.extend_from_slice(&(state.first_offset.get() as u64).to_be_bytes());
     for record in records.iter().skip(from) {
-        if body.len() > READ_LIMIT {
+        if body.len() > READ_LIMIT_BYTES {
             break;
         }
         let length = 1 + record.key.len() + record.value.len();
@@ -376,10 +383,10 @@
         let mut group = [0; 3];
         group[..chunk.len()].copy_from_slice(chunk);
         let bits = u32::from_be_bytes([0, group[0], group[1], group[2]]);
-        for place in 0..4 {
-            let index = (bits >> (18 - 6 * place)) & 63;
+        for position in 0..4 {
+            let index = (bits >> (18 - 6 * position)) & 63;
             let digit = char::from(DIGITS[index as usize]);
-            text.push(if place <= chunk.len() { digit } else { '=' });
+            text.push(if position <= chunk.len() { digit } else { '=' });
         }
     }
     text
--- a/stand-ins/src/upstream.rs
+++ b/stand-ins/src/upstream.rs
@@ -1,5 +1,5 @@
-//! An application upstream: ids, signature, load, drain, reuse of its address, and
-//! answers that are late, doubled, cut or lost.
+//! Stand-in for an application upstream. It reports its id and load, signs answers, drains, crashes and restarts; it can send
+//! answers late, twice, truncated or not at all.
 
 mod answer;
 mod listening;
@@ -11,7 +11,7 @@
 };
 
 use crate::http::PlainRequest;
-use listening::{accept, listen, reserve_port};
+use listening::{accept_connections, bind_listener, reserve_port};
 use rand::{SeedableRng, rngs::StdRng};
 use std::{
     cell::{Cell, RefCell},
@@ -29,65 +29,65 @@
     task::spawn_local,
 };
 
-/// What becomes of one request.
+/// What the upstream does with one request. The soak's reports print the variants' names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpstreamAction {
-    /// Run it and answer.
+    /// Executes it and answers.
     Answer,
-    /// Run it, answer 500.
+    /// Executes it and answers 500.
     Fail,
-    /// Say that it was not run.
+    /// Answers 503 with the header that says that it was not executed.
     Shed,
-    /// Run it and reset the connection without an answer.
+    /// Executes it and closes the connection without an answer.
     LoseAnswer,
-    /// Run it and end the connection within the body.
+    /// Executes it and closes the connection within the answer's body.
     CutBody,
-    /// Run it and answer with the id of another request.
+    /// Executes it and answers with the id of another request.
     ForeignId,
-    /// Run it and answer without the signature.
+    /// Executes it and answers without the signature.
     Unsigned,
-    /// Run it and answer twice.
+    /// Executes it and answers twice.
     AnswerTwice,
-    /// Crash while it runs, and be back at once as another run.
+    /// Crashes while executing it, and restarts at once as another incarnation.
     Restart,
-    /// Run it and hold the answer until [`StandInUpstream::release`], or until the connection ends.
+    /// Executes it and holds the answer until [`StandInUpstream::release`] or until the client disconnects.
     Hold,
 }
 
-struct State {
+struct UpstreamState {
     settings: UpstreamSettings,
-    /// None after a crash: connections are refused then.
+    /// None after a crash, when connections are refused.
     listener: RefCell<Option<TcpListener>>,
-    /// Takes connections, and waits for a listener after a crash.
+    /// Waker of the task that accepts connections; wakes it when there is a listener again.
     acceptor: RefCell<Option<Waker>>,
-    random: RefCell<StdRng>,
+    rng: RefCell<StdRng>,
     slots: Semaphore,
     instance: RefCell<String>,
     started_ms: Cell<u64>,
-    crashed: Cell<bool>,
-    crashes: Notify,
+    is_crashed: Cell<bool>,
+    crash_notify: Notify,
     slowdown: Cell<u16>,
-    cold_until: Cell<Option<Instant>>,
-    acts: RefCell<VecDeque<UpstreamAction>>,
+    warmup_until: Cell<Option<Instant>>,
+    planned_actions: RefCell<VecDeque<UpstreamAction>>,
     received_requests: RefCell<Vec<PlainRequest>>,
     health_checks: Cell<u32>,
-    leaving: Cell<bool>,
+    is_leaving: Cell<bool>,
     running: Cell<u32>,
-    changed: Notify,
-    released: Notify,
+    running_changed: Notify,
+    release_notify: Notify,
 }
 
-/// An upstream on a free port of the loopback address, run by tasks of the present event loop.
+/// An upstream on a free port of the loopback address. Its tasks run on the current `LocalSet`.
 pub struct StandInUpstream {
-    /// Where it listens.
+    /// Address on which the upstream listens.
     pub address: SocketAddr,
-    state: Rc<State>,
-    /// Keeps the port while the upstream is crashed: some other program could get it.
-    _reserved: TcpSocket,
+    state: Rc<UpstreamState>,
+    /// Keeps the port while the upstream is crashed; otherwise another program could get it.
+    _reserved_port: TcpSocket,
 }
 
 impl StandInUpstream {
-    /// Starts an upstream with that identity. It answers every request unless told otherwise.
+    /// Starts an upstream with this instance id and default settings. It answers every request unless actions are planned.
     ///
     /// # Errors
     /// If no port is free.
@@ -95,53 +95,53 @@
         Self::start_with(UpstreamSettings::new(instance)).await
     }
 
-    /// Starts an upstream as told.
+    /// Starts an upstream with these settings.
     ///
     /// # Errors
     /// If no port is free.
     #[expect(clippy::unused_async, reason = "it needs an event loop")]
     pub async fn start_with(settings: UpstreamSettings) -> io::Result<Self> {
-        let reserved = reserve_port()?;
-        let address = reserved.local_addr()?;
-        let state = Rc::new(State {
-            random: RefCell::new(StdRng::seed_from_u64(settings.seed)),
+        let reserved_port = reserve_port()?;
+        let address = reserved_port.local_addr()?;
+        let state = Rc::new(UpstreamState {
+            rng: RefCell::new(StdRng::seed_from_u64(settings.seed)),
             slots: Semaphore::new(settings.slots.into()),
             instance: RefCell::new(settings.instance.clone()),
             started_ms: Cell::new(read_clock()),
-            crashed: Cell::default(),
-            crashes: Notify::new(),
+            is_crashed: Cell::default(),
+            crash_notify: Notify::new(),
             slowdown: Cell::new(100),
-            cold_until: Cell::default(),
-            acts: RefCell::default(),
+            warmup_until: Cell::default(),
+            planned_actions: RefCell::default(),
             received_requests: RefCell::default(),
             health_checks: Cell::default(),
-            leaving: Cell::default(),
+            is_leaving: Cell::default(),
             running: Cell::default(),
-            changed: Notify::new(),
-            released: Notify::new(),
-            listener: RefCell::new(Some(listen(address)?)),
+            running_changed: Notify::new(),
+            release_notify: Notify::new(),
+            listener: RefCell::new(Some(bind_listener(address)?)),
             acceptor: RefCell::default(),
             settings,
         });
-        spawn_local(accept(Rc::clone(&state)));
+        spawn_local(accept_connections(Rc::clone(&state)));
         Ok(Self {
             address,
             state,
-            _reserved: reserved,
+            _reserved_port: reserved_port,
         })
     }
 
-    /// Acts for the next requests, in their order; after these it answers.
-    pub fn plan_actions(&self, acts: &[UpstreamAction]) {
-        self.state.acts.borrow_mut().extend(acts);
+    /// Plans the actions for the next requests, in order. Requests after these are answered.
+    pub fn plan_actions(&self, actions: &[UpstreamAction]) {
+        self.state.planned_actions.borrow_mut().extend(actions);
     }
 
-    /// Forgets the acts that were planned.
+    /// Removes the actions that are still planned.
     pub fn clear_planned_actions(&self) {
-        self.state.acts.borrow_mut().clear();
+        self.state.planned_actions.borrow_mut().clear();
     }
 
-    /// Times that it ran the request with that target.
+    /// How often requests with this target were executed.
     #[must_use]
     pub fn count_executions(&self, target: &str) -> usize {
         let executions = self.state.settings.executions.lock();
@@ -149,106 +149,107 @@
         executions.iter().filter(|run| run.target == target).count()
     }
 
-    /// Another run takes the address.
+    /// Replaces the upstream with another incarnation at the same address, with this instance id.
     pub fn replace_incarnation(&self, instance: &str) {
         instance.clone_into(&mut self.state.instance.borrow_mut());
         self.state.start_incarnation();
     }
 
-    /// When the present run started, in whole Unix milliseconds, as its heartbeats tell.
+    /// When the current incarnation started, in Unix milliseconds; heartbeats report it as `born`.
     #[must_use]
     pub fn started_ms(&self) -> u64 {
         self.state.started_ms.get()
     }
 
-    /// Whether it has crashed and not started again.
+    /// Whether the upstream has crashed and not restarted.
     #[must_use]
     pub fn is_crashed(&self) -> bool {
-        self.state.crashed.get()
+        self.state.is_crashed.get()
     }
 
-    /// Ends all connections in the middle of whatever they carry, and refuses new ones until [`Self::restart_after_crash`].
+    /// Closes all connections, also in the middle of a request or an answer, and refuses new ones until
+    /// [`Self::restart_after_crash`].
     pub fn crash(&self) {
         self.state.crash();
     }
 
-    /// Starts again after a crash, under the identity that it had.
+    /// Restarts after a crash as a new incarnation with the same instance id.
     ///
     /// # Panics
-    /// If its port can't be listened on any more.
+    /// If listening on the port fails.
     pub fn restart_after_crash(&self) {
-        let listener = listen(self.address).expect("the port is reserved");
+        let listener = bind_listener(self.address).expect("the port is reserved");
         *self.state.listener.borrow_mut() = Some(listener);
         if let Some(waker) = self.state.acceptor.take() {
             waker.wake();
         }
-        self.state.crashed.set(false);
-        self.state.leaving.set(false);
+        self.state.is_crashed.set(false);
+        self.state.is_leaving.set(false);
         self.state.start_incarnation();
     }
 
-    /// How long work takes, in percent of the usual; told, not acted.
+    /// Sets the slowdown that is reported, in percent of the usual duration. Requests don't take longer.
     pub fn set_slowdown(&self, percent: u16) {
         self.state.slowdown.set(percent);
     }
 
-    /// Becomes cold for that long; told, not acted.
-    pub fn start_warmup(&self, lasts: Duration) {
-        self.state.cold_until.set(Some(Instant::now() + lasts));
+    /// Starts a warm-up that lasts for `duration`. The upstream only reports it: requests don't take longer.
+    pub fn start_warmup(&self, duration: Duration) {
+        self.state.warmup_until.set(Some(Instant::now() + duration));
     }
 
-    /// How much longer it is cold.
+    /// Remaining time of the warm-up; zero without one.
     #[must_use]
     pub fn warmup_left(&self) -> Duration {
         self.state.warmup_left()
     }
 
-    /// Whether health questions are answered with 503 from now on.
-    pub fn set_leaving(&self, leaving: bool) {
-        self.state.leaving.set(leaving);
+    /// Sets whether health checks are answered with 503, as by a draining upstream, from now on.
+    pub fn set_leaving(&self, is_leaving: bool) {
+        self.state.is_leaving.set(is_leaving);
     }
 
-    /// Requests that reached it, health questions not included.
+    /// Requests received so far, except health checks.
     #[must_use]
     pub fn received_requests(&self) -> Vec<PlainRequest> {
         self.state.received_requests.borrow().clone()
     }
 
-    /// Health questions so far.
+    /// Number of health checks received so far.
     #[must_use]
     pub fn health_checks(&self) -> u32 {
         self.state.health_checks.get()
     }
 
-    /// Requests that run now.
+    /// Number of requests in progress.
     #[must_use]
     pub fn running(&self) -> u32 {
         self.state.running.get()
     }
 
-    /// Waits until `count` requests run.
+    /// Waits until `count` requests are in progress.
     pub async fn wait_for_running(&self, count: u32) {
         while self.state.running.get() != count {
-            self.state.changed.notified().await;
+            self.state.running_changed.notified().await;
         }
     }
 
-    /// Answers what is held.
+    /// Lets all held requests be answered.
     pub fn release(&self) {
-        self.state.released.notify_waiters();
+        self.state.release_notify.notify_waiters();
     }
 }
 
-impl State {
+impl UpstreamState {
     fn warmup_left(&self) -> Duration {
-        let until = self.cold_until.get();
+        let until = self.warmup_until.get();
         until.map_or(Duration::ZERO, |until| {
             until.saturating_duration_since(Instant::now())
         })
     }
 }
 
-/// Whole Unix milliseconds.
+/// Current time in Unix milliseconds.
 fn read_clock() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     since.map_or(0, |since| {
--- a/stand-ins/src/upstream/answer.rs
+++ b/stand-ins/src/upstream/answer.rs
@@ -1,11 +1,11 @@
-//! What an upstream sends in answer to a request.
+//! The bytes that an upstream sends as the answer to a request.
 
 use crate::{
     http::{PlainRequest, build_answer},
     upstream::{UpstreamAction, UpstreamHeaderNames, UpstreamSettings},
 };
 
-/// What an answer is made of.
+/// The parts of an answer that depend on the request.
 pub struct Answer {
     names: UpstreamHeaderNames,
     id: String,
@@ -13,7 +13,7 @@
 }
 
 impl Answer {
-    /// The answer to a request at an upstream with those settings.
+    /// Prepares the answer to a request by an upstream with these settings.
     pub fn to(settings: &UpstreamSettings, request: &PlainRequest) -> Self {
         let names = settings.names;
         let body = if settings.echoes_request {
@@ -32,8 +32,9 @@
         }
     }
 
-    /// The bytes to send, and whether the connection is kept.
-    pub fn build(&self, act: UpstreamAction, load: &str) -> (Vec<u8>, bool) {
+    /// Builds the bytes to send for an action. The second value is whether the connection stays open afterwards. `load` is the
+    /// value of the load header.
+    pub fn build(&self, action: UpstreamAction, load: &str) -> (Vec<u8>, bool) {
         let names = self.names;
         let id = self.id.as_str();
         let head = |id| {
@@ -43,7 +44,7 @@
                 (names.signature, "signed"),
             ]
         };
-        match act {
+        match action {
             UpstreamAction::Answer | UpstreamAction::Hold => {
                 (build_answer(200, &head(id), &self.body), true)
             }
--- a/stand-ins/src/upstream/serving.rs
+++ b/stand-ins/src/upstream/serving.rs
@@ -1,8 +1,8 @@
-//! How an upstream serves its connections: health questions, and requests by what is planned for them.
+//! How an upstream serves its connections: it answers health checks, and handles requests by their planned actions.
 
 use crate::{
     http::{PlainRequest, build_answer, read_request, write_all},
-    upstream::{ExecutedRequest, State, UpstreamAction, answer::Answer},
+    upstream::{ExecutedRequest, UpstreamAction, UpstreamState, answer::Answer},
 };
 use rand::RngExt;
 use std::{
@@ -14,34 +14,35 @@
 use tokio::{net::TcpStream, time::sleep};
 
 /// Serves a connection until it ends or the upstream crashes.
-pub(super) async fn serve_until_crash(stream: TcpStream, state: Rc<State>) {
-    // A connection that was taken just before a crash hears nothing of it.
-    if state.crashed.get() {
+pub(super) async fn serve_until_crash(stream: TcpStream, state: Rc<UpstreamState>) {
+    // A crash after `accept` and before this task's start has already notified; this task would miss it.
+    if state.is_crashed.get() {
         return;
     }
     tokio::select! {
-        () = state.crashes.notified() => {}
+        () = state.crash_notify.notified() => {}
         () = serve(stream, Rc::clone(&state)) => {}
     }
 }
 
-async fn serve(mut stream: TcpStream, state: Rc<State>) {
+async fn serve(mut stream: TcpStream, state: Rc<UpstreamState>) {
     while let Ok(Some(request)) = read_request(&mut stream).await {
-        let kept = if request.path() == "/health" {
+        let keep_open = if request.path() == "/health" {
             answer_health(&mut stream, &state).await
         } else {
             answer_request(&mut stream, &state, request).await
         };
-        if !kept {
+        if !keep_open {
             return;
         }
     }
 }
 
-async fn answer_health(stream: &mut TcpStream, state: &State) -> bool {
+/// Answers a health check. Returns whether the connection stays open.
+async fn answer_health(stream: &mut TcpStream, state: &UpstreamState) -> bool {
     state.health_checks.set(state.health_checks.get() + 1);
-    let status = if state.leaving.get() { 503 } else { 200 };
-    let load = load(state);
+    let status = if state.is_leaving.get() { 503 } else { 200 };
+    let load = format_load(state);
     let instance = state.instance.borrow().clone();
     let names = state.settings.names;
     let warmup_left = state.warmup_left().as_millis().to_string();
@@ -54,30 +55,36 @@
     write_all(stream, &answer).await.is_ok()
 }
 
-fn load(state: &State) -> String {
+/// Value of the load header: running, waiting, slots, slowdown in percent.
+fn format_load(state: &UpstreamState) -> String {
     let slots = state.settings.slots;
     format!("{},0,{slots},{}", state.running.get(), state.slowdown.get())
 }
 
-/// Counts a request as running for as long as it lives.
-struct Run(Rc<State>);
+/// Counts a request as in progress until dropped.
+struct RunningRequest(Rc<UpstreamState>);
 
-impl Run {
-    fn start(state: &Rc<State>) -> Self {
+impl RunningRequest {
+    fn start(state: &Rc<UpstreamState>) -> Self {
         state.running.set(state.running.get() + 1);
-        state.changed.notify_waiters();
+        state.running_changed.notify_waiters();
         Self(Rc::clone(state))
     }
 }
 
-impl Drop for Run {
+impl Drop for RunningRequest {
     fn drop(&mut self) {
         self.0.running.set(self.0.running.get() - 1);
-        self.0.changed.notify_waiters();
+        self.0.running_changed.notify_waiters();
     }
 }
 
-async fn answer_request(stream: &mut TcpStream, state: &Rc<State>, request: PlainRequest) -> bool {
+/// Handles a request by its planned action. Returns whether the connection stays open.
+async fn answer_request(
+    stream: &mut TcpStream,
+    state: &Rc<UpstreamState>,
+    request: PlainRequest,
+) -> bool {
     let names = state.settings.names;
     let expected = request.header(names.target_instance);
     let instance = state.instance.borrow().clone();
@@ -87,38 +94,38 @@
             .await
             .is_ok();
     }
-    let act = state.acts.borrow_mut().pop_front();
-    let act = act.unwrap_or(UpstreamAction::Answer);
+    let action = state.planned_actions.borrow_mut().pop_front();
+    let action = action.unwrap_or(UpstreamAction::Answer);
     let answer = Answer::to(&state.settings, &request);
-    if state.is_crashed_by(&request.target) {
-        note_run(state, &request);
+    if state.is_crashed_by_request(&request.target) {
+        record_execution(state, &request);
         state.received_requests.borrow_mut().push(request);
         state.crash();
         return false;
     }
-    if act != UpstreamAction::Shed {
-        note_run(state, &request);
+    if action != UpstreamAction::Shed {
+        record_execution(state, &request);
     }
-    if act == UpstreamAction::Restart {
+    if action == UpstreamAction::Restart {
         state.received_requests.borrow_mut().push(request);
-        state.restart(stream);
+        state.crash_and_restart(stream);
         return false;
     }
-    let time = draw_time(state, &request.target);
+    let time = draw_service_time(state, &request.target);
     state.received_requests.borrow_mut().push(request);
-    let run = Run::start(state);
-    if act == UpstreamAction::Hold && !hold(stream, state).await {
+    let running = RunningRequest::start(state);
+    if action == UpstreamAction::Hold && !wait_for_release(stream, state).await {
         return false;
     }
-    if !work(stream, state, time).await {
+    if !execute(stream, state, time).await {
         return false;
     }
-    drop(run);
-    let (bytes, kept) = answer.build(act, &load(state));
-    write_all(stream, &bytes).await.is_ok() && kept
+    drop(running);
+    let (bytes, keep_open) = answer.build(action, &format_load(state));
+    write_all(stream, &bytes).await.is_ok() && keep_open
 }
 
-fn note_run(state: &State, request: &PlainRequest) {
+fn record_execution(state: &UpstreamState, request: &PlainRequest) {
     let executions = state.settings.executions.lock();
     let mut executions = executions.unwrap_or_else(PoisonError::into_inner);
     executions.push(ExecutedRequest {
@@ -129,35 +136,36 @@
     });
 }
 
-/// Draws how long a request takes, from a log-normal distribution.
-fn draw_time(state: &State, target: &str) -> Duration {
+/// Draws the service time of a request from a log-normal distribution; zero if no prefix matches.
+fn draw_service_time(state: &UpstreamState, target: &str) -> Duration {
     let mut service_times = state.settings.service_times.iter();
     let Some(time) = service_times.find(|time| target.starts_with(&time.path_prefix)) else {
         return Duration::ZERO;
     };
-    let mut random = state.random.borrow_mut();
-    // Twelve even numbers add up to nearly a normal one, with variance 1.
-    let normal: f64 = (0..12).map(|_| random.random_range(0.0..1.0)).sum::<f64>() - 6.0;
+    let mut rng = state.rng.borrow_mut();
+    // The sum of twelve uniform values is nearly normally distributed, with mean 6 and variance 1.
+    let normal: f64 = (0..12).map(|_| rng.random_range(0.0..1.0)).sum::<f64>() - 6.0;
     time.median.mul_f64((normal * time.spread).exp())
 }
 
-/// Waits for a slot and works; false if the other side closed the connection meanwhile.
-async fn work(stream: &TcpStream, state: &State, time: Duration) -> bool {
+/// Waits for a slot and then for the service time. Returns false if the client disconnects before the end.
+async fn execute(stream: &TcpStream, state: &UpstreamState, time: Duration) -> bool {
     if time.is_zero() {
         return true;
     }
-    let worked = async {
+    let executed = async {
         // The semaphore is never closed.
         let _slot = state.slots.acquire().await;
         sleep(time).await;
     };
     tokio::select! {
-        () = worked => true,
-        () = wait_closed(stream) => false,
+        () = executed => true,
+        () = wait_until_closed(stream) => false,
     }
 }
 
-async fn wait_closed(stream: &TcpStream) {
+/// Waits until the client closes the connection. Never returns if the client sends further bytes.
+async fn wait_until_closed(stream: &TcpStream) {
     let mut byte = [0];
     match stream.peek(&mut byte).await {
         Ok(0) | Err(_) => {}
@@ -165,10 +173,10 @@
     }
 }
 
-/// True once released, false if the other side closed the connection.
-async fn hold(stream: &TcpStream, state: &State) -> bool {
+/// Waits until held requests are released. Returns false if the client disconnects first.
+async fn wait_for_release(stream: &TcpStream, state: &UpstreamState) -> bool {
     tokio::select! {
-        () = state.released.notified() => true,
-        () = wait_closed(stream) => false,
+        () = state.release_notify.notified() => true,
+        () = wait_until_closed(stream) => false,
     }
 }
--- a/stand-ins/src/upstream/settings.rs
+++ b/stand-ins/src/upstream/settings.rs
@@ -1,4 +1,4 @@
-//! How an upstream is: its header names, its times, what it records.
+//! Settings of an upstream, and the log of the requests that it executes.
 
 use std::{
     sync::{Arc, Mutex},
@@ -8,24 +8,24 @@
 /// Names of the headers that an upstream reads and sends, in lower case.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct UpstreamHeaderNames {
-    /// Identity of a request; repeated in the answer.
+    /// Id of the request; the answer repeats it.
     pub request_id: &'static str,
-    /// The run that is to run a request.
+    /// Instance id of the upstream that the request is meant for.
     pub target_instance: &'static str,
-    /// The run that answers.
+    /// Instance id of the upstream that answers.
     pub instance: &'static str,
-    /// Running, waiting, slots, slowdown in percent.
+    /// Load: requests running, requests waiting, slots, slowdown in percent, separated by commas.
     pub load: &'static str,
-    /// Proof that an answer is an upstream's.
+    /// Signature, which shows that an answer comes from an upstream.
     pub signature: &'static str,
-    /// Stands on an answer to a request that was not run.
+    /// Marks an answer to a request that was not executed.
     pub not_executed: &'static str,
-    /// How much longer the upstream is cold, in milliseconds.
+    /// Remaining time of the upstream's warm-up, in milliseconds.
     pub warmup_left: &'static str,
 }
 
 impl UpstreamHeaderNames {
-    /// The names of the users' platform.
+    /// The header names of the users' platform.
     pub const PLATFORM: Self = Self {
         request_id: "camphorturn-request-id",
         target_instance: "camphorturn-target-instance",
@@ -37,63 +37,63 @@
     };
 }
 
-/// Time of the requests below a path.
+/// Service time of the requests below a path, log-normally distributed.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServiceTime {
-    /// Start of the paths it holds for.
+    /// Prefix of the paths.
     pub path_prefix: String,
-    /// Median.
+    /// Median of the service time.
     pub median: Duration,
-    /// Spread of the logarithm: 0 is constant, 0.5 has a long tail.
+    /// Standard deviation of the service time's logarithm: 0 is constant, 0.5 has a long tail.
     pub spread: f64,
 }
 
-/// A request that an upstream began to run.
+/// A request that an upstream started to execute.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ExecutedRequest {
-    /// Its target.
+    /// Path and query of the request.
     pub target: String,
-    /// Identity of the upstream's run.
+    /// Instance id of the upstream.
     pub instance: String,
-    /// When that run started, in Unix milliseconds.
+    /// When the upstream's incarnation started, in Unix milliseconds.
     pub incarnation_started_ms: u64,
-    /// When it began.
+    /// When the execution started.
     pub executed_at: Instant,
 }
 
-/// Requests that an upstream ran, in the order of their beginnings. Shared with whoever audits it, also
-/// after the upstream has gone.
+/// Requests that upstreams executed, in the order of their starts. It is shared with the code that checks it, also after the
+/// upstream has been dropped.
 pub type ExecutionLog = Arc<Mutex<Vec<ExecutedRequest>>>;
 
-/// How an upstream is.
+/// Settings of an upstream.
 #[derive(Clone, Debug)]
 pub struct UpstreamSettings {
-    /// Identity of its first run.
+    /// Instance id of the first incarnation.
     pub instance: String,
-    /// Header names.
+    /// Names of the headers that the upstream reads and sends.
     pub names: UpstreamHeaderNames,
-    /// Requests it runs at once; further ones wait.
+    /// Most requests that are executed at once; further ones wait.
     pub slots: u16,
-    /// How long work takes; the first prefix that fits decides, and without one it takes no time.
+    /// Service times; the first matching prefix applies. Requests without a match take no time.
     pub service_times: Vec<ServiceTime>,
-    /// Seed of the times.
+    /// Seed of the service times.
     pub seed: u64,
-    /// Answers with target and body of the request in place of a fixed body.
+    /// Whether answers hold method, target and body of the request instead of a fixed body.
     pub echoes_request: bool,
-    /// Takes what it ran.
+    /// Log that the executed requests are added to.
     pub executions: ExecutionLog,
-    /// Starts of the paths of requests that crash it as soon as it runs one of them.
+    /// Prefixes of the paths of requests that crash the upstream when it starts to execute them.
     pub crash_prefixes: Vec<String>,
 }
 
 impl UpstreamSettings {
-    /// An upstream with the platform's names that answers at once.
+    /// Settings of an upstream with the platform's header names that answers at once.
     #[must_use]
     pub fn new(instance: &str) -> Self {
         Self {
             instance: instance.to_owned(),
             names: UpstreamHeaderNames::PLATFORM,
-            slots: SLOTS,
+            slots: DEFAULT_SLOTS,
             service_times: Vec::new(),
             seed: 1,
             echoes_request: false,
@@ -103,5 +103,5 @@
     }
 }
 
-/// Slots unless told otherwise.
-const SLOTS: u16 = 6;
+/// Number of slots by default.
+const DEFAULT_SLOTS: u16 = 6;
