--- a/examples/added_time.rs
+++ b/examples/added_time.rs
@@ -1,8 +1,8 @@
-//! Measures the time that camphorturn adds to a request.
+//! Measures the latency that camphorturn adds to a request.
 //!
-//! Requests go directly to a stand-in upstream, through the node beside it, and through a node of another
-//! service, in turn on every connection, so that all three meet the same machine at the same time.
-//! `--seconds N` sets the length of a step, `--json` prints JSON.
+//! Each connection sends requests in turn directly to a stand-in upstream, through the node of this upstream, and
+//! through a node of another service. All three paths are thus measured under the same load of the machine.
+//! `--seconds N` sets the duration for each number of connections, `--json` prints JSON.
 
 use bytes::Bytes;
 use camphorturn::{
@@ -27,22 +27,24 @@
 };
 use tokio::task::{LocalSet, spawn_local};
 
-/// Connections of each step.
-const CONNECTIONS: [u64; 3] = [1, 50, 200];
-/// Requests a second and way.
-const RATE: u64 = 400;
-/// What may be added for 99 requests in 100, in microseconds.
-const GOAL_MICROS: u64 = 610;
-/// Slots of the upstreams: enough that none is waited for.
+/// Numbers of connections, measured one after the other.
+const CONNECTION_COUNTS: [u64; 3] = [1, 50, 200];
+/// Requests per second on each path, over all connections.
+const REQUESTS_PER_SECOND: u64 = 400;
+/// Goal for the latency added at the 99th percentile, in microseconds.
+const MAX_ADDED_P99_MICROS: u64 = 610;
+/// Slots of each upstream; enough that no request waits for one.
 const SLOTS: u16 = 400;
-/// Longest wait for the mesh.
+/// Maximum time until the mesh is ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Times of one way, in microseconds.
+/// Latencies on one path for one number of connections, in microseconds. `added_p50` and `added_p99` are the
+/// differences to the direct path.
 #[derive(Debug, Serialize)]
-struct WayTimes {
+struct PathLatencies {
     connections: u64,
-    way: &'static str,
+    #[serde(rename = "way")]
+    path: &'static str,
     requests: u64,
     p50: u64,
     p99: u64,
@@ -57,19 +59,19 @@
         .position(|argument| argument == "--seconds")
         .and_then(|at| arguments.get(at + 1)?.parse().ok())
         .unwrap_or(3);
-    let mesh = LocalMesh::start(&describe_mesh()).expect("free ports");
+    let mesh = LocalMesh::start(&build_mesh_plan()).expect("free ports");
     assert!(
         wait_until_ready(&mesh, READY_TIMEOUT),
         "the mesh is not ready"
     );
-    let ways = [
+    let paths = [
         ("direct", mesh.nodes[0].upstream_address),
         ("local", mesh.nodes[0].client_address),
         ("node to node", mesh.nodes[1].client_address),
     ];
     let mut rows = Vec::new();
-    for connections in CONNECTIONS {
-        rows.extend(run_step(&ways, connections, Duration::from_secs(seconds)));
+    for connections in CONNECTION_COUNTS {
+        rows.extend(run_step(&paths, connections, Duration::from_secs(seconds)));
     }
     if arguments.iter().any(|argument| argument == "--json") {
         println!("{}", serde_json::to_string_pretty(&rows).expect("JSON"));
@@ -80,29 +82,29 @@
     for row in rows {
         println!(
             "| {} | {} | {} | {} | {} | {} | {} |",
-            row.connections, row.way, row.requests, row.p50, row.p99, row.added_p50, row.added_p99
+            row.connections, row.path, row.requests, row.p50, row.p99, row.added_p50, row.added_p99
         );
     }
-    println!("goal: {GOAL_MICROS} us added at p99");
+    println!("goal: {MAX_ADDED_P99_MICROS} us added at p99");
 }
 
-fn describe_mesh() -> MeshPlan {
-    let service = |name: &str| ServicePlan {
+fn build_mesh_plan() -> MeshPlan {
+    let build_service_plan = |name: &str| ServicePlan {
         service: name.into(),
         upstreams: 1,
         slots: SLOTS,
         availability_zones: vec!["a".into()],
         service_times: Vec::new(),
     };
-    let mut nodes = service("desk").build_nodes(1);
-    nodes.extend(service("records").build_nodes(2));
-    let entry = |name: &str| ServiceEntry {
+    let mut nodes = build_service_plan("desk").build_nodes(1);
+    nodes.extend(build_service_plan("records").build_nodes(2));
+    let build_service_entry = |name: &str| ServiceEntry {
         name: name.into(),
         health_path: "/health".into(),
     };
     MeshPlan {
         configuration: Configuration {
-            services: vec![entry("desk"), entry("records")],
+            services: vec![build_service_entry("desk"), build_service_entry("records")],
             classes: vec![ClassEntry {
                 name: "look".into(),
                 host: "desk.example".into(),
@@ -122,14 +124,15 @@
     }
 }
 
-/// Sends on all connections for a while, each taking the ways in turn.
+/// Sends requests on all connections for `duration` and returns the latencies of each path.
 fn run_step(
-    ways: &[(&'static str, SocketAddr); 3],
+    paths: &[(&'static str, SocketAddr); 3],
     connections: u64,
-    span: Duration,
-) -> Vec<WayTimes> {
-    let times: Rc<RefCell<Vec<Histogram<u64>>>> = Rc::new(RefCell::new(
-        ways.iter()
+    duration: Duration,
+) -> Vec<PathLatencies> {
+    let histograms: Rc<RefCell<Vec<Histogram<u64>>>> = Rc::new(RefCell::new(
+        paths
+            .iter()
             .map(|_| Histogram::new(3).expect("three digits"))
             .collect(),
     ));
@@ -140,33 +143,37 @@
     LocalSet::new().block_on(&runtime, async {
         let mut tasks = Vec::new();
         for connection in 0..connections {
-            let times = Rc::clone(&times);
-            let addresses = ways.map(|(_, address)| address);
-            tasks.push(spawn_local(send_on(
+            let histograms = Rc::clone(&histograms);
+            let addresses = paths.map(|(_, address)| address);
+            tasks.push(spawn_local(send_requests(
                 addresses,
                 connection,
                 connections,
-                span,
-                times,
+                duration,
+                histograms,
             )));
         }
         for task in tasks {
             task.await.expect("a task that ends");
         }
     });
-    let times = times.take();
+    let histograms = histograms.take();
     let direct = [
-        times[0].value_at_quantile(0.5),
-        times[0].value_at_quantile(0.99),
+        histograms[0].value_at_quantile(0.5),
+        histograms[0].value_at_quantile(0.99),
     ];
-    ways.iter()
-        .zip(&times)
-        .map(|((way, _), times)| {
-            let [p50, p99] = [times.value_at_quantile(0.5), times.value_at_quantile(0.99)];
-            WayTimes {
+    paths
+        .iter()
+        .zip(&histograms)
+        .map(|((path, _), histogram)| {
+            let [p50, p99] = [
+                histogram.value_at_quantile(0.5),
+                histogram.value_at_quantile(0.99),
+            ];
+            PathLatencies {
                 connections,
-                way,
-                requests: times.len(),
+                path,
+                requests: histogram.len(),
                 p50,
                 p99,
                 added_p50: p50.cast_signed() - direct[0].cast_signed(),
@@ -176,36 +183,39 @@
         .collect()
 }
 
-async fn send_on(
-    ways: [SocketAddr; 3],
+async fn send_requests(
+    paths: [SocketAddr; 3],
     connection: u64,
     connections: u64,
-    span: Duration,
-    times: Rc<RefCell<Vec<Histogram<u64>>>>,
+    duration: Duration,
+    histograms: Rc<RefCell<Vec<Histogram<u64>>>>,
 ) {
-    let clients = ways.map(CallerClient::new);
-    let pause = Duration::from_secs(connections) / u32::try_from(RATE).expect("a small rate");
-    let began = Instant::now();
+    let clients = paths.map(CallerClient::new);
+    let interval = Duration::from_secs(connections)
+        / u32::try_from(REQUESTS_PER_SECOND).expect("a small rate");
+    let started = Instant::now();
     let mut round: u32 = 0;
-    while began.elapsed() < span {
-        for (way, client) in clients.iter().enumerate() {
+    while started.elapsed() < duration {
+        for (path_index, client) in clients.iter().enumerate() {
             let sent = Instant::now();
-            let answer = client.call(build_call(connection, round, way)).await;
+            let answer = client.call(build_call(connection, round, path_index)).await;
             let micros = u64::try_from(sent.elapsed().as_micros()).unwrap_or(u64::MAX);
             if answer.is_ok_and(|answer| answer.status.is_success()) {
-                times.borrow_mut()[way].record(micros).expect("in range");
+                histograms.borrow_mut()[path_index]
+                    .record(micros)
+                    .expect("in range");
             }
         }
         round += 1;
-        tokio::time::sleep_until((began + pause * round).into()).await;
+        tokio::time::sleep_until((started + interval * round).into()).await;
     }
 }
 
-fn build_call(connection: u64, round: u32, way: usize) -> CallerCall {
+fn build_call(connection: u64, round: u32, path_index: usize) -> CallerCall {
     let names = HeaderNames::default_names();
     let mut headers = HeaderMap::new();
     headers.insert(HOST, HeaderValue::from_static("desk.example"));
-    let id = format!("{connection}-{round}-{way}");
+    let id = format!("{connection}-{round}-{path_index}");
     headers.insert(
         names.request_id,
         HeaderValue::from_str(&id).expect("a header"),
--- a/examples/route_lookup.rs
+++ b/examples/route_lookup.rs
@@ -1,7 +1,7 @@
-//! Measures the time of looking up a request's route by the number of routes of one host.
+//! Measures how long the lookup of a route takes, by the number of routes of a host.
 //!
-//! Each path lies below one of the routes, in a drawn order; one in ten lies below none of them. `--seconds N` sets the
-//! time spent on each size.
+//! Nine in ten request paths match a route, the others match none. Their order is random. `--seconds N` sets the duration
+//! for each number of routes.
 
 use camphorturn::state::{
     configuration::ConfigurationVersion,
@@ -15,10 +15,10 @@
     time::{Duration, Instant},
 };
 
-/// Routes of the host: few, many, and more than the largest configurations have.
-const SIZES: [usize; 3] = [20, 1_400, 5_600];
+/// Numbers of routes of the host: few, many, and more than the largest configurations have.
+const ROUTE_COUNTS: [usize; 3] = [20, 1_400, 5_600];
 const HOST: &str = "shop.example";
-/// Same paths in the same order at every run.
+/// A fixed seed, so that the order of the paths is the same each time.
 const SEED: u64 = 7;
 
 fn main() {
@@ -28,53 +28,53 @@
         .position(|argument| argument == "--seconds")
         .and_then(|at| arguments.get(at + 1)?.parse().ok())
         .unwrap_or(2);
-    println!("| routes | lookups | ns a lookup | us to make ready |");
+    println!("| routes | lookups | ns per lookup | us to build the index |");
     println!("|---|---|---|---|");
-    for size in SIZES {
-        run_size(size, Duration::from_secs(seconds));
+    for route_count in ROUTE_COUNTS {
+        measure_lookups(route_count, Duration::from_secs(seconds));
     }
 }
 
-fn run_size(size: usize, span: Duration) {
-    let table = build_table(size);
-    let began = Instant::now();
+fn measure_lookups(route_count: usize, duration: Duration) {
+    let table = build_table(route_count);
+    let started = Instant::now();
     let index = RouteIndex::new(table);
-    let ready = began.elapsed().as_micros();
-    let paths = draw_paths(size);
-    let (mut lookups, mut found) = (0_u128, 0_u128);
-    let began = Instant::now();
-    while began.elapsed() < span {
+    let build_micros = started.elapsed().as_micros();
+    let paths = build_request_paths(route_count);
+    let (mut lookups, mut paths_with_route) = (0_u128, 0_u128);
+    let started = Instant::now();
+    while started.elapsed() < duration {
         for path in &paths {
             let route = black_box(&index).find_route(HOST, black_box(path));
-            found += u128::from(route.is_some());
+            paths_with_route += u128::from(route.is_some());
         }
         lookups += paths.len() as u128;
     }
-    let nanos = began.elapsed().as_nanos() / lookups;
-    assert!(found > 0, "no path has a route");
-    println!("| {size} | {lookups} | {nanos} | {ready} |");
+    let nanos_per_lookup = started.elapsed().as_nanos() / lookups;
+    assert!(paths_with_route > 0, "no path has a route");
+    println!("| {route_count} | {lookups} | {nanos_per_lookup} | {build_micros} |");
 }
 
-fn name(number: usize) -> String {
+fn build_path_prefix(number: usize) -> String {
     format!("/part-{}/unit-{number}/", number % 7)
 }
 
-fn draw_paths(size: usize) -> Vec<String> {
-    let mut paths: Vec<String> = (0..size)
+fn build_request_paths(route_count: usize) -> Vec<String> {
+    let mut paths: Vec<String> = (0..route_count)
         .map(|number| match number % 10 {
             0 => format!("/other-{number}/orders/{number}/lines"),
-            _ => format!("{}orders/{number}/lines", name(number)),
+            _ => format!("{}orders/{number}/lines", build_path_prefix(number)),
         })
         .collect();
     paths.shuffle(&mut StdRng::seed_from_u64(SEED));
     paths
 }
 
-fn build_table(size: usize) -> RoutingTable {
-    let route = |number: usize| Route {
+fn build_table(route_count: usize) -> RoutingTable {
+    let build_route = |number: usize| Route {
         class: format!("unit-{number}").as_str().into(),
         host: HOST.into(),
-        path_prefix: name(number).into(),
+        path_prefix: build_path_prefix(number).into(),
         idempotent: true,
         timeout: Duration::from_secs(1),
         target: Duration::from_millis(300),
@@ -87,7 +87,7 @@
     };
     RoutingTable {
         version: ConfigurationVersion(1),
-        routes: (0..size).map(route).map(Rc::new).collect(),
+        routes: (0..route_count).map(build_route).map(Rc::new).collect(),
         services: Vec::new(),
         limits: ClientLimits::default(),
     }
--- a/examples/upper_bound.rs
+++ b/examples/upper_bound.rs
@@ -1,36 +1,39 @@
-//! What could be reached at most on a day of the platform's bench: what the slots can serve at those times,
-//! less what can't be avoided.
+//! Computes an upper bound of the score that can be reached on a day of the platform's load test, and prints it next to
+//! the score that was reached.
 //!
-//! `upper_bound SITE.toml REPORT.json...`, with reports of days of that site. The bound knows the load, the
-//! slots and how fast VMs work on average, and no disruption: what upstreams and VMs lose lies between it and what was reached.
+//! Usage: `upper_bound SITE.toml REPORT.json...`, with reports of days of that site. The bound takes into account the
+//! load, the slots and the average speed of the VMs, but no disruptions: work that is lost because upstreams or VMs
+//! fail is part of the difference between the bound and the reached score.
 
 use serde::Deserialize;
 use std::{collections::HashMap, env, fs, process::ExitCode};
 
-/// Share of an upstream's slots that may run at once before all of them take longer.
-const USED_SLOTS: f64 = 0.8;
-/// Length of the windows of a report, in seconds.
+/// Share of the slots of an upstream that can be in use before its requests slow down.
+const USABLE_SLOT_SHARE: f64 = 0.8;
+/// Length of the time windows of a report, in seconds.
 const WINDOW_SECONDS: f64 = 2.0;
-/// Windows that count as the worst ones.
-const WORST_WINDOWS: usize = 2;
+/// Number of windows with the lowest credit that count separately.
+const WORST_WINDOW_COUNT: usize = 2;
 
-/// What is read of a site.
+/// The parts of a site file that are used.
 #[derive(Deserialize)]
 struct Site {
     name: String,
-    machines: Vec<Machines>,
+    machines: Vec<VmGroup>,
     services: Vec<Service>,
     classes: Vec<Class>,
     traffic: Vec<Traffic>,
     goal: Goal,
 }
 
+/// A number of VMs that run the same service, `app`.
 #[derive(Deserialize)]
-struct Machines {
+struct VmGroup {
     app: Option<String>,
     count: f64,
 }
 
+/// A service with the number of slots of each upstream.
 #[derive(Deserialize)]
 struct Service {
     name: String,
@@ -38,29 +41,34 @@
     noise: Option<Noise>,
 }
 
-/// A share of the time in which work takes that many times as long.
+/// During `share` of the time, work takes `duration_factor` times as long.
 #[derive(Deserialize)]
 struct Noise {
     share: f64,
-    x: f64,
+    #[serde(rename = "x")]
+    duration_factor: f64,
 }
 
+/// A class of requests. `worth` is the weight of a request in the score.
 #[derive(Deserialize)]
 struct Class {
     name: String,
     service: String,
-    aim_ms: f64,
+    #[serde(rename = "aim_ms")]
+    target_ms: f64,
     worth: f64,
     work_ms: Work,
     #[serde(default)]
     calls: Vec<Call>,
 }
 
+/// Time that the upstream works on a request, in milliseconds.
 #[derive(Deserialize)]
 struct Work {
     mean: f64,
 }
 
+/// Calls of a request to another class, on average `times * share` of them.
 #[derive(Deserialize)]
 struct Call {
     class: String,
@@ -68,11 +76,13 @@
     share: f64,
 }
 
+/// A source of requests, with the relative frequency of each class.
 #[derive(Deserialize)]
 struct Traffic {
     mix: HashMap<String, f64>,
 }
 
+/// Weights of the parts of the score: of the whole day, the worst windows, the worst class and the served requests.
 #[derive(Deserialize)]
 struct Goal {
     mean: f64,
@@ -81,21 +91,25 @@
     served: f64,
 }
 
-/// What is read of a report.
+/// The parts of a report that are used. Each price holds a name, a number that is not used, and the share that it
+/// takes off the score.
 #[derive(Deserialize)]
 struct Report {
     #[serde(rename = "G")]
-    worth: f64,
+    score: f64,
     windows: Vec<Window>,
     prices: Vec<(String, f64, f64)>,
 }
 
+/// A time window, with the number of requests of clients.
 #[derive(Deserialize)]
 struct Window {
-    n: f64,
+    #[serde(rename = "n")]
+    requests: f64,
 }
 
-/// Credit in parts of what is owed.
+/// Upper bound of the score and its parts. The first three are shares of the weight of all requests; `unavoidable` is
+/// the price of the time that the VMs run.
 struct Bound {
     whole_day: f64,
     worst_windows: f64,
@@ -110,17 +124,17 @@
         eprintln!("upper_bound SITE.toml REPORT.json...");
         return ExitCode::from(2);
     };
-    match print_bounds(&site, arguments) {
+    match print_table(&site, arguments) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(problem) => {
-            eprintln!("{problem}");
+        Err(message) => {
+            eprintln!("{message}");
             ExitCode::FAILURE
         }
     }
 }
 
-fn print_bounds(site: &str, reports: impl Iterator<Item = String>) -> Result<(), String> {
-    let text = read(site)?;
+fn print_table(site: &str, reports: impl Iterator<Item = String>) -> Result<(), String> {
+    let text = read_file(site)?;
     let site: Site = toml::from_str(&text).map_err(|error| format!("{site}: {error}"))?;
     println!("{}", site.name);
     println!(
@@ -128,10 +142,10 @@
     );
     println!("|---|---|---|---|---|---|---|");
     for path in reports {
-        let text = read(&path)?;
+        let text = read_file(&path)?;
         let report: Report =
             serde_json::from_str(&text).map_err(|error| format!("{path}: {error}"))?;
-        let bound = find_bound(&site, &report);
+        let bound = compute_bound(&site, &report);
         println!(
             "| {path} | {:.3} | {:.3} | {:.3} | {:.3} | {:.3} | {:.3} |",
             bound.whole_day,
@@ -139,45 +153,45 @@
             bound.worst_class,
             bound.unavoidable,
             bound.total,
-            report.worth
+            report.score
         );
     }
     Ok(())
 }
 
-fn read(path: &str) -> Result<String, String> {
+fn read_file(path: &str) -> Result<String, String> {
     fs::read_to_string(path).map_err(|error| format!("{path}: {error}"))
 }
 
-fn find_bound(site: &Site, report: &Report) -> Bound {
-    let mix = find_mix(site);
+fn compute_bound(site: &Site, report: &Report) -> Bound {
+    let class_shares = compute_class_shares(site);
     let served: Vec<HashMap<&str, f64>> = report
         .windows
         .iter()
-        .map(|window| serve_window(site, &mix, window.n))
+        .map(|window| compute_served_shares(site, &class_shares, window.requests))
         .collect();
-    let credits: Vec<f64> = served
+    let window_credits: Vec<f64> = served
         .iter()
-        .map(|served| credit(site, &mix, served))
+        .map(|served| compute_credit(site, &class_shares, served))
         .collect();
-    let asked: f64 = report.windows.iter().map(|window| window.n).sum();
-    let weighted = report.windows.iter().zip(&credits);
+    let request_count: f64 = report.windows.iter().map(|window| window.requests).sum();
+    let weighted = report.windows.iter().zip(&window_credits);
     let whole_day = weighted
-        .map(|(window, credit)| window.n * credit)
+        .map(|(window, credit)| window.requests * credit)
         .sum::<f64>()
-        / asked;
-    let mut sorted = credits.clone();
+        / request_count;
+    let mut sorted = window_credits.clone();
     sorted.sort_by(f64::total_cmp);
-    sorted.truncate(WORST_WINDOWS);
+    sorted.truncate(WORST_WINDOW_COUNT);
     let worst_windows = mean(&sorted);
-    let worst_class = mix
+    let worst_class = class_shares
         .keys()
         .map(|class| {
             let shares = report.windows.iter().zip(&served);
             shares
-                .map(|(window, served)| window.n * served[class])
+                .map(|(window, served)| window.requests * served[class])
                 .sum::<f64>()
-                / asked
+                / request_count
         })
         .fold(1.0, f64::min);
     let unavoidable = report
@@ -201,23 +215,23 @@
     }
 }
 
-/// Share of each class among clients' requests.
-fn find_mix(site: &Site) -> HashMap<&str, f64> {
-    let mut mix: HashMap<&str, f64> = HashMap::new();
+/// Computes the share of each class among the requests of clients.
+fn compute_class_shares(site: &Site) -> HashMap<&str, f64> {
+    let mut class_shares: HashMap<&str, f64> = HashMap::new();
     for traffic in &site.traffic {
-        for (class, part) in &traffic.mix {
-            *mix.entry(class).or_default() += part;
+        for (class, share) in &traffic.mix {
+            *class_shares.entry(class).or_default() += share;
         }
     }
-    let sum: f64 = mix.values().sum();
-    for part in mix.values_mut() {
-        *part /= sum;
+    let total: f64 = class_shares.values().sum();
+    for share in class_shares.values_mut() {
+        *share /= total;
     }
-    mix
+    class_shares
 }
 
-/// Work that one request of a class brings to each service, in slot-milliseconds.
-fn find_work<'a>(site: &'a Site, class: &'a Class) -> HashMap<&'a str, f64> {
+/// Computes the work that one request of a class causes at each service, in milliseconds of a slot.
+fn compute_work_by_service<'a>(site: &'a Site, class: &'a Class) -> HashMap<&'a str, f64> {
     let mut work = HashMap::from([(class.service.as_str(), class.work_ms.mean)]);
     for call in &class.calls {
         if let Some(called) = site.classes.iter().find(|other| other.name == call.class) {
@@ -228,62 +242,76 @@
     work
 }
 
-/// Share of each class that the slots can serve in a window with that many requests. Work of the window may
-/// end until its target is over.
-fn serve_window<'a>(
+/// Computes the share of the requests of each class that the slots can serve in a window with `request_count` requests.
+/// Requests of the window may still be served after its end, up to their latency target.
+fn compute_served_shares<'a>(
     site: &'a Site,
-    mix: &HashMap<&'a str, f64>,
-    asked: f64,
+    class_shares: &HashMap<&'a str, f64>,
+    request_count: f64,
 ) -> HashMap<&'a str, f64> {
     let classes = || {
         site.classes
             .iter()
-            .filter(|class| mix.contains_key(class.name.as_str()))
+            .filter(|class| class_shares.contains_key(class.name.as_str()))
     };
-    let mut wanted: HashMap<&str, f64> = HashMap::new();
+    let mut work_by_service: HashMap<&str, f64> = HashMap::new();
     for class in classes() {
-        for (service, work) in find_work(site, class) {
-            *wanted.entry(service).or_default() += asked * mix[class.name.as_str()] * work;
+        for (service, work) in compute_work_by_service(site, class) {
+            *work_by_service.entry(service).or_default() +=
+                request_count * class_shares[class.name.as_str()] * work;
         }
     }
     let served = classes().map(|class| {
-        let span = WINDOW_SECONDS * 1_000.0 + class.aim_ms;
-        let share = find_work(site, class)
+        let available_ms = WINDOW_SECONDS * 1_000.0 + class.target_ms;
+        let share = compute_work_by_service(site, class)
             .keys()
-            .map(|service| count_slots(site, service) * span / wanted[service].max(1.0))
+            .map(|service| {
+                count_usable_slots(site, service) * available_ms / work_by_service[service].max(1.0)
+            })
             .fold(1.0, f64::min);
         (class.name.as_str(), share)
     });
     served.collect()
 }
 
-fn count_slots(site: &Site, service: &str) -> f64 {
-    let slots = site.services.iter().find(|known| known.name == service);
-    let each = slots.map_or(0.0, |known| {
-        let pace = known
-            .noise
-            .as_ref()
-            .map_or(1.0, |noise| 1.0 - noise.share + noise.share / noise.x);
-        (known.slots * USED_SLOTS).floor() * pace
+/// Counts the usable slots of all VMs of a service, scaled by the average speed of the VMs.
+fn count_usable_slots(site: &Site, service: &str) -> f64 {
+    let slots = site
+        .services
+        .iter()
+        .find(|service_entry| service_entry.name == service);
+    let slots_per_vm = slots.map_or(0.0, |service_entry| {
+        let speed = service_entry.noise.as_ref().map_or(1.0, |noise| {
+            1.0 - noise.share + noise.share / noise.duration_factor
+        });
+        (service_entry.slots * USABLE_SLOT_SHARE).floor() * speed
     });
     let machines = site
         .machines
         .iter()
         .filter(|machines| machines.app.as_deref() == Some(service));
-    machines.map(|machines| machines.count * each).sum()
+    machines.map(|machines| machines.count * slots_per_vm).sum()
 }
 
-fn credit(site: &Site, mix: &HashMap<&str, f64>, served: &HashMap<&str, f64>) -> f64 {
-    let owed = |class: &&Class| {
-        mix.get(class.name.as_str())
-            .map_or(0.0, |part| part * class.worth)
+/// Computes the served share of all requests, weighted by class.
+fn compute_credit(
+    site: &Site,
+    class_shares: &HashMap<&str, f64>,
+    served: &HashMap<&str, f64>,
+) -> f64 {
+    let compute_weight = |class: &&Class| {
+        class_shares
+            .get(class.name.as_str())
+            .map_or(0.0, |share| share * class.worth)
     };
     let classes = || site.classes.iter();
-    let all: f64 = classes().map(|class| owed(&class)).sum();
-    let earned: f64 = classes()
-        .map(|class| owed(&class) * served.get(class.name.as_str()).copied().unwrap_or_default())
+    let total_weight: f64 = classes().map(|class| compute_weight(&class)).sum();
+    let credited_weight: f64 = classes()
+        .map(|class| {
+            compute_weight(&class) * served.get(class.name.as_str()).copied().unwrap_or_default()
+        })
         .sum();
-    earned / all
+    credited_weight / total_weight
 }
 
 #[expect(clippy::cast_precision_loss, reason = "a day has few windows")]
--- a/src/bin/camphorturn.rs
+++ b/src/bin/camphorturn.rs
@@ -1,4 +1,4 @@
-//! The operators' command line.
+//! Entry point of `camphorturn`, the command-line tool for operators.
 
 use camphorturn::{
     commands::{
@@ -23,37 +23,37 @@
 fn run(command: &Command) -> ExitCode {
     let mut out = io::stdout().lock();
     let out = &mut out;
-    let done = match command {
+    let result = match command {
         Command::Check(arguments) => run_check(arguments, out),
         Command::Dev(arguments) => run_dev(arguments, out),
-        Command::Publish(arguments) => with_access(&arguments.access, |access| {
+        Command::Publish(arguments) => run_with_access(&arguments.access, |access| {
             run_publish(arguments, access, &TimerService::system(), out)
         }),
-        Command::History(arguments) => with_access(&arguments.access, |access| {
+        Command::History(arguments) => run_with_access(&arguments.access, |access| {
             run_history(arguments, access, out)
         }),
-        Command::Status(arguments) => with_access(&arguments.access, |access| {
+        Command::Status(arguments) => run_with_access(&arguments.access, |access| {
             run_status(arguments, access, &TimerService::system(), out)
         }),
         Command::Timeline(arguments) => run_timeline(arguments, &TimerService::system(), out),
         Command::Explain(arguments) => run_explain(arguments, out),
         Command::Logs(arguments) => run_logs(arguments, out),
         Command::Misses(arguments) => run_misses(arguments, out),
-        Command::Drain(arguments) => with_access(&arguments.access, |access| {
+        Command::Drain(arguments) => run_with_access(&arguments.access, |access| {
             run_drain(arguments, access, out)
         }),
-        Command::Evacuate(arguments) => with_access(&arguments.access, |access| {
+        Command::Evacuate(arguments) => run_with_access(&arguments.access, |access| {
             run_evacuate(arguments, access, out)
         }),
     };
-    done.unwrap_or_else(|error| {
+    result.unwrap_or_else(|error| {
         eprintln!("can't write the result: {error}");
         ExitCode::Failed
     })
 }
 
-/// Runs a command that talks to nodes, if its arguments say how.
-fn with_access(
+/// Runs a command with the node addresses and the token from its arguments. Prints an error if one is missing.
+fn run_with_access(
     arguments: &AccessArguments,
     run: impl FnOnce(&OperatorAccess) -> io::Result<ExitCode>,
 ) -> io::Result<ExitCode> {
