--- a/soak/src/fault_plan.rs
+++ b/soak/src/fault_plan.rs
@@ -8,8 +8,8 @@
 use rand::{Rng, RngExt, SeedableRng, rngs::StdRng};
 use std::time::Duration;
 
-/// Shortest and longest time between the starts of two faults. Faults last longer, so they overlap.
-const PAUSE_MS: (u64, u64) = (100, 900);
+/// Shortest and longest time between the starts of two faults. Faults usually last longer, so they overlap.
+const START_INTERVAL_MS: (u64, u64) = (100, 900);
 /// Shortest and longest duration of a fault.
 const DURATION_MS: (u64, u64) = (200, 2_500);
 
@@ -20,9 +20,9 @@
 /// Shortest and longest pause between two changes of a series, and between two faults of one node in a series. The
 /// effects of one last longer than the pause.
 const SERIES_PAUSE_MS: (u64, u64) = (20, 700);
-/// Bandwidth of a slow link in bytes per second, each way: 4 Mbit/s. The platform's slowest links have 10 Mbit/s, with
-/// more nodes than a soak has.
-const SLOW_LINK_BYTES_PER_SECOND: u32 = 500_000;
+/// Bandwidth of a limited link in bytes per second, each way: 4 Mbit/s. The platform's lowest bandwidth is 10 Mbit/s, which
+/// more nodes share than a soak has.
+const LOW_BANDWIDTH_BYTES_PER_SECOND: u32 = 500_000;
 
 /// Fewest and most restores of the store from a snapshot, per seed.
 const STORE_RESTORES: (usize, usize) = (0, 2);
@@ -162,8 +162,8 @@
         routes_left: MAX_ADDED_ROUTES,
         faults: Vec::new(),
     };
-    let first = draw.rng.random_range(Duration::ZERO..span / 2);
-    draw.add_configuration_changes(first);
+    let first_change = draw.rng.random_range(Duration::ZERO..span / 2);
+    draw.add_configuration_changes(first_change);
     let mut start = Duration::ZERO;
     while start < span {
         match draw.rng.random_range(0..16) {
@@ -174,7 +174,7 @@
                 draw.add(start, fault);
             }
         }
-        start += draw_duration(&mut draw.rng, PAUSE_MS);
+        start += draw_duration(&mut draw.rng, START_INTERVAL_MS);
     }
     draw.faults.extend(draw_crashing_request(seed, span));
     draw.faults.extend(draw_evacuations(seed, span));
@@ -208,7 +208,7 @@
     (0..count).map(draw).collect()
 }
 
-/// Draws the warm-ups, with a generator of their own.
+/// Draws the upstreams' warm-ups, with a generator of their own.
 fn draw_warmups(seed: u64, span: Duration, nodes: usize) -> Vec<PlannedFault> {
     let mut rng = StdRng::seed_from_u64(seed.rotate_left(32));
     let count = rng.random_range(0..=nodes);
@@ -235,10 +235,11 @@
     (0..count).map(draw).collect()
 }
 
-/// Bandwidth between nodes in bytes per second; none if it is unlimited. Half of the seeds have slow links.
+/// Bandwidth between nodes in bytes per second; none if it is unlimited. Half of the seeds have limited links.
 #[must_use]
 pub fn draw_link_bandwidth(seed: u64) -> Option<u32> {
-    seed.is_multiple_of(2).then_some(SLOW_LINK_BYTES_PER_SECOND)
+    seed.is_multiple_of(2)
+        .then_some(LOW_BANDWIDTH_BYTES_PER_SECOND)
 }
 
 /// State while the faults of a seed are drawn.
@@ -274,9 +275,9 @@
             self.add(start, Fault::Configure);
             if self.rng.random_range(0..2) == 0 {
                 let node = self.rng.random_range(0..self.nodes);
-                let order = draw_node_fault(&mut self.rng, node);
-                let between = start + draw_duration(&mut self.rng, SERIES_PAUSE_MS);
-                self.add(between, order);
+                let node_fault = draw_node_fault(&mut self.rng, node);
+                let node_fault_start = start + draw_duration(&mut self.rng, SERIES_PAUSE_MS);
+                self.add(node_fault_start, node_fault);
             }
         }
     }
@@ -286,8 +287,8 @@
         let node = self.rng.random_range(0..self.nodes);
         let mut start = begin;
         for _ in 0..self.rng.random_range(2..=5) {
-            let order = draw_node_fault(&mut self.rng, node);
-            self.add(start, order);
+            let node_fault = draw_node_fault(&mut self.rng, node);
+            self.add(start, node_fault);
             start += draw_duration(&mut self.rng, SERIES_PAUSE_MS);
         }
     }
--- a/soak/src/lib.rs
+++ b/soak/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! Each node is a process that this tool starts with a settings file of the platform. The store and the upstreams are
 //! stand-ins in this tool's process. Nodes reach them over links that can be slow, reset connections or drop bytes.
-//! One seed determines all random choices: faults, requests and service times.
+//! One seed determines the faults and the requests. Service times have a fixed seed for each VM.
 
 pub mod arguments;
 pub mod callers;
--- a/soak/src/mesh.rs
+++ b/soak/src/mesh.rs
@@ -38,9 +38,9 @@
 const NODES_TOPIC: &str = "keyed.nodes";
 /// Key that neither nodes nor operators use. Its characters need escaping in URLs.
 const UNRELATED_KEY: &str = "10.254.0.\u{f6}/&=+ 1";
-/// Limit on pairs of a node with a slow link and another node. The connections of a pair take about twelve file descriptors
-/// of this process, whose limit usually is 20,000. With 36 nodes all have slow links, with 64 nodes 20, with 100 nodes 13.
-const MAX_SLOW_LINK_PAIRS: usize = 1_300;
+/// Limit on pairs of a node with a link of low bandwidth and another node. The connections of a pair take about twelve file
+/// descriptors of this process, whose limit usually is 20,000. All of 36 nodes have such links, 20 of 64, and 13 of 100.
+const MAX_LOW_BANDWIDTH_PAIRS: usize = 1_300;
 /// Timeout of heartbeats and of readiness requests.
 pub const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
 /// Interval at which processes and readiness are polled, and the delay before an ended process is restarted.
@@ -64,7 +64,7 @@
 }
 
 impl SoakMesh {
-    /// Starts the store, the upstreams and the nodes, with a configuration in the store. Without a seed no link is slow.
+    /// Starts the store, the upstreams and the nodes, with a configuration in the store. Without a seed the links' bandwidth is unlimited.
     ///
     /// # Errors
     /// If a port can't be bound, a file can't be written or a process can't be started.
@@ -84,7 +84,7 @@
                 service: SERVICES[number % SERVICES.len()],
                 folder: folder.clone(),
                 link_bytes_per_second: link_bytes_per_second
-                    .filter(|_| number < MAX_SLOW_LINK_PAIRS / nodes),
+                    .filter(|_| number < MAX_LOW_BANDWIDTH_PAIRS / nodes),
             };
             vms.push(Vm::open(plan, store.address, ExecutionLog::clone(&executions)).await?);
         }
@@ -125,8 +125,8 @@
             .put(CONFIGURATION_TOPIC, CONFIGURATION_KEY, &document);
     }
 
-    /// Writes the operator's records that the store has lost again, only the newest of each key. So offsets differ from those
-    /// that the records had before.
+    /// Writes the operator's records that the store has lost once more, but only the newest of each key. Their offsets
+    /// then differ from those before.
     pub fn rewrite_lost(&self, lost: &[LostRecord]) {
         let mut newest = BTreeMap::new();
         let by_operator = lost.iter().enumerate();
--- a/soak/src/seed_run.rs
+++ b/soak/src/seed_run.rs
@@ -98,12 +98,12 @@
 /// Injects the faults at their times, waits for their ends and then removes what is left of them.
 async fn inject_faults(mesh: &Rc<SoakMesh>, faults: &[PlannedFault]) {
     let began = tokio::time::Instant::now();
-    let mut running = Vec::new();
+    let mut injections = Vec::new();
     for fault in faults {
         sleep_until(began + fault.start).await;
-        running.push(spawn_local(inject_fault(Rc::clone(mesh), *fault)));
+        injections.push(spawn_local(inject_fault(Rc::clone(mesh), *fault)));
     }
-    for fault in running {
+    for fault in injections {
         // A task that panicked has already printed its message.
         let _ = fault.await;
     }
@@ -190,10 +190,10 @@
         }
         Fault::CrashingRequest(requests) => {
             let target = format!("{CRASHING_PREFIX}{}", planned.start.as_millis());
-            let restarting = spawn_local(restart_crashed_upstreams(Rc::clone(&mesh)));
+            let restart_task = spawn_local(restart_crashed_upstreams(Rc::clone(&mesh)));
             send_repeatedly(&mesh, &target, requests, duration).await;
             sleep(CRASH_DOWNTIME).await;
-            restarting.abort();
+            restart_task.abort();
             mesh.vms.iter().for_each(restart_if_crashed);
         }
         Fault::Configure => publish(&mesh, 1),
--- a/soak/src/vm.rs
+++ b/soak/src/vm.rs
@@ -31,7 +31,7 @@
 const READY_PORT: u16 = 20_043;
 const ANNOUNCEMENTS_PORT: u16 = 20_044;
 const METRICS_PORT: u16 = 20_045;
-/// Port on which a node with a slow link listens for other nodes; the link takes the usual port.
+/// Port on which a node behind a link of limited bandwidth listens for other nodes; the link takes the usual port.
 const NODE_BEHIND_LINK_PORT: u16 = 20_046;
 /// Time that a planned stop may take, in seconds.
 const GRACE_SECONDS: u64 = 5;
--- a/soak/tests/short.rs
+++ b/soak/tests/short.rs
@@ -24,6 +24,6 @@
 }
 
 #[test]
-fn run_short_seed_with_slow_links() {
+fn run_short_seed_with_low_bandwidth() {
     run_seed("8");
 }
--- a/stand-ins/src/store.rs
+++ b/stand-ins/src/store.rs
@@ -155,12 +155,12 @@
     /// Restores a snapshot and starts a new epoch. Records appended since the snapshot are lost, their offsets are assigned
     /// again, and calls in progress end without an answer. Returns the lost records, those of a topic in the order of its log.
     pub fn restore_snapshot(&self, snapshot: StoreSnapshot) -> Vec<LostRecord> {
-        let before = self.state.topics.replace(snapshot.0);
+        let previous_topics = self.state.topics.replace(snapshot.0);
         self.state.epoch.update(|epoch| epoch + 1);
         self.state.restored.notify_waiters();
         let kept = self.state.topics.borrow();
         let mut lost = Vec::new();
-        for (topic, records) in before {
+        for (topic, records) in previous_topics {
             let kept = kept.get(&topic).map_or(0, Vec::len);
             lost.extend(records.into_iter().skip(kept).map(|record| LostRecord {
                 topic: topic.clone(),
@@ -344,7 +344,8 @@
         let text = json!({ "first": state.first_offset.get() }).to_string();
         return build_answer(410, &[], text.as_bytes());
     }
-    let wait = Duration::from_millis(u64::try_from(number("wait_ms").unwrap_or(0)).unwrap_or(0));
+    let wait_time =
+        Duration::from_millis(u64::try_from(number("wait_ms").unwrap_or(0)).unwrap_or(0));
     let has_newer_record = || state.topics.borrow().get(topic).map_or(0, Vec::len) > from;
     let newer_record = async {
         while !has_newer_record() {
@@ -352,7 +353,7 @@
         }
     };
     // If no newer record arrives in time, the answer holds no records.
-    let _ = timeout(wait, newer_record).await;
+    let _ = timeout(wait_time, newer_record).await;
     build_answer(200, &[], &encode_records(topic, from, state))
 }
 
--- a/stand-ins/src/upstream.rs
+++ b/stand-ins/src/upstream.rs
@@ -59,19 +59,21 @@
     /// None after a crash, when connections are refused.
     listener: RefCell<Option<TcpListener>>,
     /// Waker of the task that accepts connections; wakes it when there is a listener again.
-    acceptor: RefCell<Option<Waker>>,
+    accept_waker: RefCell<Option<Waker>>,
     rng: RefCell<StdRng>,
     slots: Semaphore,
     instance: RefCell<String>,
+    /// Start of the current incarnation, in Unix milliseconds.
     started_ms: Cell<u64>,
     is_crashed: Cell<bool>,
     crash_notify: Notify,
-    slowdown: Cell<u16>,
+    slowdown_percent: Cell<u16>,
     warmup_until: Cell<Option<Instant>>,
     planned_actions: RefCell<VecDeque<UpstreamAction>>,
     received_requests: RefCell<Vec<PlainRequest>>,
     health_checks: Cell<u32>,
     is_leaving: Cell<bool>,
+    /// Number of requests in progress.
     running: Cell<u32>,
     running_changed: Notify,
     release_notify: Notify,
@@ -110,7 +112,7 @@
             started_ms: Cell::new(read_clock()),
             is_crashed: Cell::default(),
             crash_notify: Notify::new(),
-            slowdown: Cell::new(100),
+            slowdown_percent: Cell::new(100),
             warmup_until: Cell::default(),
             planned_actions: RefCell::default(),
             received_requests: RefCell::default(),
@@ -120,7 +122,7 @@
             running_changed: Notify::new(),
             release_notify: Notify::new(),
             listener: RefCell::new(Some(bind_listener(address)?)),
-            acceptor: RefCell::default(),
+            accept_waker: RefCell::default(),
             settings,
         });
         spawn_local(accept_connections(Rc::clone(&state)));
@@ -180,7 +182,7 @@
     pub fn restart_after_crash(&self) {
         let listener = bind_listener(self.address).expect("the port is reserved");
         *self.state.listener.borrow_mut() = Some(listener);
-        if let Some(waker) = self.state.acceptor.take() {
+        if let Some(waker) = self.state.accept_waker.take() {
             waker.wake();
         }
         self.state.is_crashed.set(false);
@@ -188,9 +190,9 @@
         self.state.start_incarnation();
     }
 
-    /// Sets the slowdown that is reported, in percent of the usual duration. Requests don't take longer.
+    /// Sets the slowdown that is reported, in percent of the normal duration. Requests don't take longer.
     pub fn set_slowdown(&self, percent: u16) {
-        self.state.slowdown.set(percent);
+        self.state.slowdown_percent.set(percent);
     }
 
     /// Starts a warm-up that lasts for `duration`. The upstream only reports it: requests don't take longer.
--- a/stand-ins/src/upstream/listening.rs
+++ b/stand-ins/src/upstream/listening.rs
@@ -38,7 +38,7 @@
         self.is_crashed.set(false);
         let listener = stream.local_addr().and_then(bind_listener);
         *self.listener.borrow_mut() = Some(listener.expect("the port is reserved"));
-        if let Some(waker) = self.acceptor.take() {
+        if let Some(waker) = self.accept_waker.take() {
             waker.wake();
         }
     }
@@ -52,7 +52,7 @@
 
     fn poll_accept(&self, cx: &mut Context<'_>) -> Poll<io::Result<(TcpStream, SocketAddr)>> {
         // Dropping a listener doesn't wake the task that polls it, so the waker is kept for the next listener.
-        *self.acceptor.borrow_mut() = Some(cx.waker().clone());
+        *self.accept_waker.borrow_mut() = Some(cx.waker().clone());
         match &*self.listener.borrow() {
             Some(listener) => listener.poll_accept(cx),
             None => Poll::Pending,
--- a/stand-ins/src/upstream/serving.rs
+++ b/stand-ins/src/upstream/serving.rs
@@ -21,11 +21,11 @@
     }
     tokio::select! {
         () = state.crash_notify.notified() => {}
-        () = serve(stream, Rc::clone(&state)) => {}
+        () = serve_connection(stream, Rc::clone(&state)) => {}
     }
 }
 
-async fn serve(mut stream: TcpStream, state: Rc<UpstreamState>) {
+async fn serve_connection(mut stream: TcpStream, state: Rc<UpstreamState>) {
     while let Ok(Some(request)) = read_request(&mut stream).await {
         let keep_open = if request.path() == "/health" {
             answer_health(&mut stream, &state).await
@@ -58,7 +58,11 @@
 /// Value of the load header: running, waiting, slots, slowdown in percent.
 fn format_load(state: &UpstreamState) -> String {
     let slots = state.settings.slots;
-    format!("{},0,{slots},{}", state.running.get(), state.slowdown.get())
+    format!(
+        "{},0,{slots},{}",
+        state.running.get(),
+        state.slowdown_percent.get()
+    )
 }
 
 /// Counts a request as in progress until dropped.
