--- a/tests/integration/table_spreading.rs
+++ b/tests/integration/table_spreading.rs
@@ -68,13 +68,13 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct Outcome {
     /// Number of nodes that are up and lack the version.
-    lacking: usize,
+    nodes_without_version: usize,
     /// Time from the first node that had the version in force to the last.
-    took: Duration,
+    distribution_time: Duration,
     /// Largest number of tables that one node received beyond one per version and one per failed fetch.
     surplus: usize,
     /// Failed fetches of all nodes.
-    failed: usize,
+    failed_fetches: usize,
     /// Bytes that a node received on average.
     bytes_in: usize,
     most_bytes_in: usize,
@@ -98,17 +98,19 @@
             continue;
         }
         match node.in_force_since(version) {
-            Some(at) => outcome.took = outcome.took.max(at.since(first)),
-            None => outcome.lacking += 1,
+            Some(at) => outcome.distribution_time = outcome.distribution_time.max(at.since(first)),
+            None => outcome.nodes_without_version += 1,
         }
-        let surplus = node.copies.saturating_sub(versions + node.failed);
+        let surplus = node
+            .received_tables
+            .saturating_sub(versions + node.failed_fetches);
         outcome.surplus = outcome.surplus.max(surplus);
-        outcome.failed += node.failed;
+        outcome.failed_fetches += node.failed_fetches;
     }
     outcome
 }
 
-/// Simulates a plan with several seeds. Checks that all nodes that are up get the newest version in time, with one copy each.
+/// Simulates a plan with several seeds. Checks that all nodes that are up get the newest version in time, by one fetch each.
 fn check_all(
     plan: Plan,
     tables: &Rc<Tables>,
@@ -119,8 +121,11 @@
         let plan = Plan { seed, ..plan };
         let mesh = simulate(plan, tables, Duration::from_millis(1_500));
         let outcome = evaluate(&mesh, tables.newest());
-        assert_eq!(outcome.lacking, 0, "{plan:?}: {outcome:?}");
-        assert!(outcome.took <= max_time, "{plan:?}: {outcome:?}");
+        assert_eq!(outcome.nodes_without_version, 0, "{plan:?}: {outcome:?}");
+        assert!(
+            outcome.distribution_time <= max_time,
+            "{plan:?}: {outcome:?}"
+        );
         assert_eq!(outcome.surplus, 0, "{plan:?}: {outcome:?}");
         outcome
     };
@@ -152,7 +157,7 @@
         };
         for outcome in check_all(plan, tables, 0..seeds, max_time) {
             println!("{name}, {change} B, {nodes} nodes: {outcome:?}");
-            assert_eq!(outcome.failed, 0, "{outcome:?}");
+            assert_eq!(outcome.failed_fetches, 0, "{outcome:?}");
             assert!(outcome.most_bytes_in <= max_bytes_in(change), "{outcome:?}");
             all.push(outcome);
         }
@@ -171,21 +176,21 @@
 }
 
 /// Tables with 400 routes whose change adds one service to 100. No route changes its service.
-fn table_with_new_service() -> Rc<Tables> {
+fn tables_with_new_service() -> Rc<Tables> {
     let mut next = build_table(2, 400, 100);
     next.services.push(build_service(100));
-    Rc::new(Tables::of(vec![build_table(1, 400, 100), next]))
+    Rc::new(Tables::from_versions(vec![build_table(1, 400, 100), next]))
 }
 
 /// Meshes with 100 services and 400 routes, in which a route or a service is added 2,700 times a day.
 #[test]
 fn spread_usual_changes() {
-    let route_more = Rc::new(Tables::new(&[(399, 100), (400, 100)]));
-    let whole_size = route_more.size_of_change(ConfigurationVersion(0), route_more.newest());
+    let added_route = Rc::new(Tables::new(&[(399, 100), (400, 100)]));
+    let whole_size = added_route.size_of_change(ConfigurationVersion(0), added_route.newest());
     println!("whole table of 400 routes: {whole_size:?} B");
     for (name, tables) in [
-        ("a route more of 400", route_more),
-        ("a service more of 100", table_with_new_service()),
+        ("one more route, 400 routes", added_route),
+        ("one more service, 100 services", tables_with_new_service()),
     ] {
         for outcome in check_change(name, &tables) {
             let bytes = outcome.most_bytes_in + outcome.most_bytes_out;
@@ -208,7 +213,7 @@
     check_all(LARGE_PLAN, &tables, 0..1, LARGE_MAX_DISTRIBUTION_TIME);
 }
 
-/// Requests report versions too. Guards against many nodes that fetch a table from the same node because of that.
+/// Guards against many nodes that fetch a table from the same node because requests between nodes report its version too.
 #[test]
 fn spread_with_requests() {
     let request_pause = Some(REQUEST_PAUSE);
@@ -243,7 +248,7 @@
 /// Guards against most nodes of a zone lacking a version after a reader offered it and was lost before any node fetched it. The
 /// other reader got the version from a node with that offer, so its own read returns nothing new and it offers nothing.
 #[test]
-fn spread_from_lost_reader_in_quiet_mesh() {
+fn spread_from_lost_reader_without_requests() {
     let plan = Plan {
         loses_readers: true,
         ..SMALL_PLAN
@@ -257,10 +262,10 @@
 }
 
 /// Guards against one or two nodes lacking a version although both readers offered it. A reader accepts the offer of the other
-/// one, forwards it in its own name and is lost. It is in the middle of the other's tree, so the nodes below it learn of the
-/// version from no other node. The seeds are those of 0 to 199 in which that happens.
+/// one, forwards it as its own offer and is lost. It is an inner node of the other reader's distribution tree, so the nodes below it
+/// learn of the version from no other node. The seeds are those of 0 to 199 in which that happens.
 #[test]
-fn spread_past_lost_reader_in_quiet_mesh() {
+fn spread_past_lost_reader_without_requests() {
     let plan = Plan {
         loses_readers: true,
         ..SMALL_PLAN
--- a/tests/integration/table_spreading/calls.rs
+++ b/tests/integration/table_spreading/calls.rs
@@ -63,8 +63,8 @@
     pub fn cancel(&mut self, number: usize) {
         let call = &mut self.calls[number];
         call.is_ended = true;
-        let ends = [call.from, call.to];
-        self.network.abandon(number, ends);
+        let nodes = [call.from, call.to];
+        self.network.drop_unsent_segments(number, nodes);
     }
 
     pub fn send(&mut self, call: usize, leg: Leg, bytes: usize) {
@@ -144,10 +144,10 @@
                 self.calls[number].answer = Some((self.nodes[to].own_version, 0));
             }
             Purpose::Fetch(known_version) => {
-                let version_there = self.nodes[to].own_version;
-                if let Some(size) = self.tables.size_of_change(known_version, version_there) {
+                let peer_version = self.nodes[to].own_version;
+                if let Some(size) = self.tables.size_of_change(known_version, peer_version) {
                     bytes = size;
-                    self.calls[number].answer = Some((version_there, size));
+                    self.calls[number].answer = Some((peer_version, size));
                 }
             }
         }
@@ -166,10 +166,10 @@
     pub fn handle_answer(&mut self, number: usize) {
         let call = &mut self.calls[number];
         call.is_ended = true;
-        if let (Purpose::DirectOffer(_), Some((version_there, _))) = (&call.purpose, call.answer) {
+        if let (Purpose::DirectOffer(_), Some((peer_version, _))) = (&call.purpose, call.answer) {
             self.nodes[call.from]
                 .known_versions
-                .insert(call.to, version_there);
+                .insert(call.to, peer_version);
         }
         if let Purpose::Fetch(_) = call.purpose {
             if self.nodes[call.from].reported_fetch == Some(number) {
@@ -188,7 +188,7 @@
             return;
         }
         if let Some((version, _)) = answer {
-            self.nodes[node].copies += 1;
+            self.nodes[node].received_tables += 1;
             let (own_version, call) = (self.nodes[node].own_version, &self.calls[number]);
             let Purpose::Fetch(base) = call.purpose else {
                 unreachable!("only a fetch returns a table");
@@ -213,13 +213,13 @@
         }
         call.is_ended = true;
         let (from, to, purpose) = (call.from, call.to, call.purpose.clone());
-        self.network.abandon(number, [from, to]);
+        self.network.drop_unsent_segments(number, [from, to]);
         match purpose {
-            Purpose::Offer(message, rest) => self.send_to_any(from, *message, rest),
+            Purpose::Offer(message, remaining) => self.send_to_any(from, *message, remaining),
             Purpose::DirectOffer(_) => {}
             Purpose::Fetch(_) => {
                 self.nodes[from].reported_fetch = None;
-                self.nodes[from].failed += 1;
+                self.nodes[from].failed_fetches += 1;
                 self.continue_fetching(from);
             }
         }
--- a/tests/integration/table_spreading/fetching.rs
+++ b/tests/integration/table_spreading/fetching.rs
@@ -1,6 +1,6 @@
 //! The steps by which a node fetches a newer table. They follow `src/proxy/table_fetching.rs`.
 
-use super::mesh::{Event, Mesh, Purpose, address, node_at};
+use super::mesh::{Event, Mesh, Purpose, address, find_node};
 use camphorturn::{
     coordination::{
         fanout::split_receivers,
@@ -46,7 +46,7 @@
         message.forward_to.clone_from(&remaining);
         self.call(
             node,
-            node_at(to),
+            find_node(to),
             Purpose::Offer(Box::new(message), remaining),
         );
     }
@@ -65,10 +65,10 @@
         self.forward_offers(node);
         match self.nodes[node].sources.plan_next_step(own_version, now) {
             FetchStep::FetchOffered(from, _) => {
-                self.call(node, node_at(from), Purpose::Fetch(own_version));
+                self.call(node, find_node(from), Purpose::Fetch(own_version));
             }
             FetchStep::FetchReported(from, _) => {
-                let call = self.call(node, node_at(from), Purpose::Fetch(own_version));
+                let call = self.call(node, find_node(from), Purpose::Fetch(own_version));
                 self.nodes[node].reported_fetch = Some(call);
             }
             FetchStep::Wait(until) => {
@@ -94,7 +94,7 @@
     }
 
     pub fn accept_offer(&mut self, node: usize, offer: TableOffer) {
-        let from = node_at(offer.from);
+        let from = find_node(offer.from);
         self.nodes[node].known_versions.insert(from, offer.version);
         self.nodes[node].sources.record_offer(offer);
         if let Some(call) = self.nodes[node].reported_fetch.take() {
--- a/tests/integration/table_spreading/mesh.rs
+++ b/tests/integration/table_spreading/mesh.rs
@@ -1,7 +1,7 @@
 //! A simulated mesh whose nodes distribute a new routing table.
 //!
 //! The code of the node decides which nodes a version is offered to, from which node it is fetched and to which nodes the offer
-//! is forwarded. The steps between these decisions need sockets in a node; here they are written out after
+//! is forwarded. The steps between these decisions need sockets in a node; here they follow
 //! `src/proxy/table_fetching.rs`, `src/proxy/table_offering.rs` and `src/proxy/state_messages.rs`. Messages have the sizes that
 //! a node would send.
 
@@ -59,7 +59,7 @@
     pub down_one_in: usize,
     /// Whether the first reader of each zone is lost right after it has offered the newest version.
     pub loses_readers: bool,
-    /// Pause between the requests that a node sends to others, whose answers report versions; none in a mesh without requests.
+    /// Pause between the requests that a node sends to others, whose answers report versions; none if nodes send no requests.
     pub request_pause: Option<Duration>,
 }
 
@@ -121,6 +121,7 @@
 
 #[derive(Debug)]
 pub struct Node {
+    /// Whether the node reads new versions from the store for its zone.
     pub is_reader: bool,
     pub outage: Option<Outage>,
     pub sources: TableSources,
@@ -136,9 +137,9 @@
     /// Versions with the times at which they came into force, in this order.
     pub in_force: Vec<(Timestamp, ConfigurationVersion)>,
     /// Number of answers with a table.
-    pub copies: usize,
+    pub received_tables: usize,
     /// Number of fetches that failed.
-    pub failed: usize,
+    pub failed_fetches: usize,
 }
 
 impl Node {
@@ -171,7 +172,7 @@
     SocketAddr::from(([10, 20, high, low], 7_400))
 }
 
-pub fn node_at(address: SocketAddr) -> usize {
+pub fn find_node(address: SocketAddr) -> usize {
     match address.ip() {
         std::net::IpAddr::V4(ip) => {
             let [.., high, low] = ip.octets();
@@ -198,7 +199,7 @@
             mesh.add_node(number, own_version);
         }
         for number in 0..plan.nodes {
-            mesh.draw_role(number);
+            mesh.assign_role(number);
         }
         mesh
     }
@@ -221,19 +222,19 @@
                 .collect(),
             own_version,
             in_force: Vec::new(),
-            copies: 0,
-            failed: 0,
+            received_tables: 0,
+            failed_fetches: 0,
         });
     }
 
-    pub fn draw_role(&mut self, number: usize) {
+    pub fn assign_role(&mut self, number: usize) {
         let zone = self.list_zone(number);
-        let reads = is_reader(address(number), zone.into_iter());
-        self.nodes[number].is_reader = reads;
+        let reads_store = is_reader(address(number), zone.into_iter());
+        self.nodes[number].is_reader = reads_store;
         let first = CHECK_INTERVAL.mul_f64(self.round_random.random_range(0.0..1.0));
         self.schedule_check(number, first);
         let one_in = self.plan.down_one_in;
-        if one_in > 0 && !reads && self.random.random_range(0..one_in) == 0 {
+        if one_in > 0 && !reads_store && self.random.random_range(0..one_in) == 0 {
             let reachable = self.random.random_bool(0.5);
             let outage = if reachable {
                 Outage::Unresponsive
@@ -339,8 +340,8 @@
         let known_versions = &self.nodes[node].known_versions;
         zone.retain(|to| {
             known_versions
-                .get(&node_at(*to))
-                .is_none_or(|version_there| *version_there < own_version)
+                .get(&find_node(*to))
+                .is_none_or(|peer_version| *peer_version < own_version)
         });
         let mut receivers = self.nodes[node]
             .offer_rounds
@@ -365,15 +366,15 @@
         let ring = ring.into_iter().map(|address| RingNode {
             address,
             has_version: known_versions
-                .get(&node_at(address))
-                .is_some_and(|version_there| *version_there >= own_version),
+                .get(&find_node(address))
+                .is_some_and(|peer_version| *peer_version >= own_version),
         });
         let ring: Vec<RingNode> = ring.collect();
         for to in self.nodes[node]
             .offer_rounds
             .plan_checks(own_version, &ring, now)
         {
-            self.call(node, node_at(to), Purpose::DirectOffer(own_version));
+            self.call(node, find_node(to), Purpose::DirectOffer(own_version));
         }
     }
 
@@ -384,7 +385,7 @@
         }
         self.offer_to_zone(node, true);
         let zone = self.list_zone(node);
-        let mut readers = zone.iter().map(|other| &self.nodes[node_at(*other)]);
+        let mut readers = zone.iter().map(|other| &self.nodes[find_node(*other)]);
         let is_first = readers.all(|other| !other.is_reader || other.own_version < version);
         if self.plan.loses_readers && version == self.tables.newest() && is_first {
             let delay = LOSS_WINDOW.mul_f64(self.random.random_range(0.1..1.0));
@@ -411,10 +412,11 @@
             return;
         }
         let delay = self.network.delay(node, to);
-        let (own_version, others) = (self.nodes[node].own_version, self.nodes[to].own_version);
+        let (own_version, peer_version) =
+            (self.nodes[node].own_version, self.nodes[to].own_version);
         self.timeline
             .after(delay, Event::Report(to, node, own_version));
         self.timeline
-            .after(delay * 2, Event::Report(node, to, others));
+            .after(delay * 2, Event::Report(node, to, peer_version));
     }
 }
--- a/tests/integration/table_spreading/network.rs
+++ b/tests/integration/table_spreading/network.rs
@@ -158,12 +158,12 @@
         self.links[node].outbound.clear();
     }
 
-    /// Drops the segments of a call that are not sent yet.
-    pub fn abandon(&mut self, call: usize, ends: [usize; 2]) {
-        for end in ends {
+    /// Drops the segments of a call that its two nodes have not sent yet.
+    pub fn drop_unsent_segments(&mut self, call: usize, nodes: [usize; 2]) {
+        for node in nodes {
             let transfers = &self.transfers;
             let is_of_other_call = |number: &usize| transfers[*number].transfer.call != call;
-            self.links[end].outbound.retain(is_of_other_call);
+            self.links[node].outbound.retain(is_of_other_call);
         }
     }
 
--- a/tests/integration/table_spreading/tables.rs
+++ b/tests/integration/table_spreading/tables.rs
@@ -78,11 +78,11 @@
         let versions = (1..).zip(sizes);
         let tables =
             versions.map(|(version, (routes, services))| build_table(version, *routes, *services));
-        Self::of(tables.collect())
+        Self::from_versions(tables.collect())
     }
 
     /// The given versions, oldest first.
-    pub fn of(versions: Vec<RoutingTable>) -> Self {
+    pub fn from_versions(versions: Vec<RoutingTable>) -> Self {
         Self {
             versions,
             sizes: RefCell::default(),
@@ -93,19 +93,19 @@
         self.versions.last().expect("a version").version
     }
 
-    /// Bytes of the answer of a node at `version_there` to a node at version `since`; none if there are no changes.
+    /// Bytes of the answer of a node at `peer_version` to a node at version `since`; none if there are no changes.
     pub fn size_of_change(
         &self,
         since: ConfigurationVersion,
-        version_there: ConfigurationVersion,
+        peer_version: ConfigurationVersion,
     ) -> Option<usize> {
         let mut sizes = self.sizes.borrow_mut();
-        *sizes.entry((since.0, version_there.0)).or_insert_with(|| {
+        *sizes.entry((since.0, peer_version.0)).or_insert_with(|| {
             let mut history = TableHistory::default();
             for table in self
                 .versions
                 .iter()
-                .filter(|table| table.version <= version_there)
+                .filter(|table| table.version <= peer_version)
             {
                 history.replace_if_newer(table.clone());
             }
