--- a/tests/integration/overload.rs
+++ b/tests/integration/overload.rs
@@ -34,8 +34,9 @@
     }
 }
 
-/// One upstream that requests reach at random times. Like an entry node, each request first asks for a slot at once. If it is refused,
-/// it waits up to its target if the reported finish time is within the target, and up to its deadline otherwise.
+/// One upstream that requests reach at random times. As an entry node does, the replay first submits each request without a wait. If
+/// it is refused, it is submitted again with a wait up to its target if the reported finish time is within the target, and up to its
+/// deadline otherwise.
 struct Replay {
     queue: SlotQueue,
     random: StdRng,
@@ -153,7 +154,7 @@
 /// them, can't be on time either and wait as well. The queue must not count a request as on time just because it can end within
 /// the time that it may wait.
 #[test]
-fn replay_half_as_much_again() {
+fn replay_above_capacity() {
     for seed in 0..5 {
         let phases = [(CAPACITY * 3 / 2, Duration::from_secs(20))];
         let outcome = Replay::new(seed).play(&phases);
@@ -165,7 +166,7 @@
 
 /// Guards against answers that stay late long after a burst, because the queue that it left delays the requests after it.
 #[test]
-fn replay_burst_is_over_soon() {
+fn replay_recovers_after_burst() {
     for seed in 0..5 {
         let burst = (CAPACITY * 3, Duration::from_secs(1));
         let after = (CAPACITY * 7 / 10, Duration::from_secs(5));
@@ -176,7 +177,7 @@
     }
 }
 
-/// Below capacity nothing is refused, since late requests are executed where there is room.
+/// Below capacity nothing is refused, because requests that can't be on time are executed in free slots.
 #[test]
 fn replay_below_capacity_refuses_nothing() {
     for seed in 0..5 {
--- a/tests/integration/proxy_decisions.rs
+++ b/tests/integration/proxy_decisions.rs
@@ -1,4 +1,4 @@
-//! Tests decisions of a node that need no connection.
+//! Decisions of a node that need no connection: routes, announcements, candidates, reads of the store and log lines.
 
 use camphorturn::{
     coordination::{
@@ -168,12 +168,12 @@
 }
 
 #[test]
-fn announce_in_any_order() {
+fn apply_announcement_in_any_order() {
     bolero::check!()
         .with_type::<Vec<(u8, u8, bool)>>()
         .for_each(|announcements| {
             let mut upstream = LocalUpstream::default();
-            let mut left = Vec::new();
+            let mut left_instances = Vec::new();
             for (incarnation, sequence, leaving) in announcements {
                 let instance = format!("i-{}", incarnation % 4);
                 upstream.apply_announcement(announcement(
@@ -182,7 +182,7 @@
                     *leaving,
                 ));
                 if upstream.current().is_some_and(|current| current.leaving) {
-                    left.extend(
+                    left_instances.extend(
                         upstream
                             .current()
                             .map(|current| current.identity.instance.clone()),
@@ -191,7 +191,7 @@
                 let serving = upstream
                     .serving()
                     .map(|current| current.identity.instance.clone());
-                assert!(serving.is_none_or(|serving| !left.contains(&serving)));
+                assert!(serving.is_none_or(|serving| !left_instances.contains(&serving)));
             }
         });
 }
@@ -462,7 +462,7 @@
 }
 
 #[test]
-fn rate_limit_keeps_to_its_rate() {
+fn try_acquire_keeps_to_rate() {
     let mut limit = RateLimit::new(60.0, 60.0);
     let attempts = (0..100_000_u64).map(|step| Timestamp(step * 100));
     let granted = attempts.filter(|now| limit.try_acquire(*now)).count();
--- a/tests/integration/proxy_events.rs
+++ b/tests/integration/proxy_events.rs
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn catalogue_lists_every_line() {
+fn events_page_lists_every_event() {
     let events = read_source();
     assert!(events.len() > 20, "the source was not understood");
     for (number, name) in &events {
