--- a/tests/integration/command_line.rs
+++ b/tests/integration/command_line.rs
@@ -176,11 +176,10 @@
     );
 }
 
+/// Failure: every node rejects or misreads the configuration in force, because a file with an error is published and is checked
+/// by the nodes only, or not at all.
 #[test]
 fn publish_with_findings_contacts_no_node() {
-    // Symptom: every node rejects or misreads the configuration in force.
-    // Sequence: a file with an error is published.
-    // Cause: the file is checked by the nodes only, or not at all.
     let faulty = ScratchFile::new("faulty.jsonc", "{ \"services\": [], \"servces\": 1 }");
     let closed = find_closed_address();
     let output = run(&[
@@ -226,7 +225,7 @@
 }
 
 #[test]
-fn evacuate_and_take_back() {
+fn evacuate_and_restore_zone() {
     let mesh = start_mesh();
     let unknown = run_with_mesh(&mesh, &["evacuate", "no-such-zone"]);
     assert_eq!(unknown.status.code(), Some(2), "{unknown:?}");
@@ -237,12 +236,9 @@
     // Evacuations don't change the version of the configuration; its history stays readable.
     assert_eq!(run_with_mesh(&mesh, &["history"]).status.code(), Some(0));
     wait_for_status(&mesh, &format!("evacuated: {zone}"));
-    let taken_back = run_with_mesh(&mesh, &["evacuate", "--take-back", "--json", &zone]);
-    assert_eq!(taken_back.status.code(), Some(0), "{taken_back:?}");
-    assert_eq!(
-        parse(&taken_back)["zones"].as_array().map(Vec::len),
-        Some(0)
-    );
+    let restored = run_with_mesh(&mesh, &["evacuate", "--take-back", "--json", &zone]);
+    assert_eq!(restored.status.code(), Some(0), "{restored:?}");
+    assert_eq!(parse(&restored)["zones"].as_array().map(Vec::len), Some(0));
 }
 
 /// Polls the status until a line begins with `start`.
@@ -405,11 +401,10 @@
     assert_eq!(run(&["misses", "no-such-file.log"]).status.code(), Some(2));
 }
 
+/// Failure: the operators' token appears in a log or on a shared screen. The token is in the environment, somebody requests the help
+/// of a command, and the parser prints the environment variables that it reads together with their values.
 #[test]
 fn help_hides_token() {
-    // Symptom: the operators' token appears in a log or on a shared screen.
-    // Sequence: the token is in the environment, and somebody requests the help of a command.
-    // Cause: the parser prints the environment variables that it reads together with their values.
     let secret = "a-secret-of-operators";
     let node = find_closed_address();
     for command in [
--- a/tests/integration/log_causes.rs
+++ b/tests/integration/log_causes.rs
@@ -84,10 +84,10 @@
 
 #[test]
 fn explain_unknown_after_disconnect() {
-    let cut = "{\"unknown\":\"upstream_cut\"}";
-    let at_n2 = executing_line(2_004, &executed(cut, 5, ""));
-    let end = ended(cut, 10, ",\"arrivals\":1");
-    let [attempt, end] = entry_lines(2_010, &returned(cut, 7, ""), &end);
+    let disconnected = "{\"unknown\":\"upstream_cut\"}";
+    let at_n2 = executing_line(2_004, &executed(disconnected, 5, ""));
+    let end = ended(disconnected, 10, ",\"arrivals\":1");
+    let [attempt, end] = entry_lines(2_010, &returned(disconnected, 7, ""), &end);
     let trace = trace(&[at_n2, attempt, end]);
     assert_cause(&trace, "The local upstream of n2 closed the connection");
     assert_cause(&trace, "(incarnation i7)");
@@ -134,8 +134,8 @@
 
 #[test]
 fn explain_refused_without_configuration() {
-    let none = "{\"refused\":\"no_upstream\"}";
-    let members = ended(none, 0, "").replace("\"version\":3", "\"version\":0");
+    let no_upstream = "{\"refused\":\"no_upstream\"}";
+    let members = ended(no_upstream, 0, "").replace("\"version\":3", "\"version\":0");
     let trace = trace(&[line("n1", (1_010, 10), 2, 801, &members)]);
     assert_cause(&trace, "n1 had no configuration yet");
 }
@@ -164,8 +164,8 @@
     assert_cause(&trace, "closed its connection after 800 ms");
 }
 
-/// Symptom: a request ends at its deadline, and its lines don't show what took the time. Sequence: the attempt is
-/// still in progress at the deadline. Cause: only attempts that had been answered were logged.
+/// Failure: a request ends at its deadline, and its lines don't show what took the time. The attempt is still in progress at the
+/// deadline, and only answered attempts are logged.
 #[test]
 fn explain_deadline_with_attempt_in_progress() {
     let passed = "{\"unknown\":\"deadline_passed\"}";
@@ -217,13 +217,13 @@
 
 #[test]
 fn explain_refused_retry() {
-    let spent = "{\"refused\":\"repeats_spent\"}";
+    let retries_exhausted = "{\"refused\":\"repeats_spent\"}";
     let trace = trace(&[line(
         "n1",
         (2_010, 1_010),
         3,
         801,
-        &ended(spent, 10, ",\"asked\":2"),
+        &ended(retries_exhausted, 10, ",\"asked\":2"),
     )]);
     assert_eq!(trace.end, "refused: repeats spent");
     assert_cause(
@@ -264,8 +264,8 @@
     let attempt = returned(answered, 600, ",\"waited_ms\":500");
     let end = ended(answered, 605, ",\"asked\":1,\"arrivals\":1");
     let [attempt, end] = entry_lines(2_700, &attempt, &end);
-    let cold = "\"left_ms\":2900,\"limit\":23";
-    let trace = trace(&[line("n2", (2_050, 1_050), 1, 817, cold), attempt, end]);
+    let warming_up = "\"left_ms\":2900,\"limit\":23";
+    let trace = trace(&[line("n2", (2_050, 1_050), 1, 817, warming_up), attempt, end]);
     assert_cause(
         &trace,
         "upstream of n2 was warming up and received at most 23 requests",
--- a/tests/integration/log_reading.rs
+++ b/tests/integration/log_reading.rs
@@ -105,8 +105,8 @@
     assert!((attempt.served_span.1 - 95.0).abs() < 0.1, "{attempt:?}");
 }
 
-/// Symptom: the answer to an attempt precedes its execution. Sequence: the clock of one VM is 40 s ahead. Cause: lines
-/// were sorted by wall-clock time.
+/// Failure: the answer to an attempt is listed before its execution, because lines are sorted by wall-clock time and the clock of
+/// one VM is 40 s ahead.
 #[test]
 fn order_lines_with_different_clocks() {
     for shift in [0, 40_000] {
@@ -121,8 +121,8 @@
     }
 }
 
-/// Symptom: lines of one process are in the wrong order. Sequence: the wall clock jumps back by a minute while the
-/// process runs. Cause: lines were sorted by wall-clock time.
+/// Failure: lines of one process are in the wrong order, because they are sorted by wall-clock time and the wall clock jumps back by
+/// a minute while the process runs.
 #[test]
 fn order_lines_with_jumping_clock() {
     let lines = [
@@ -144,9 +144,9 @@
 fn order_any_lines() {
     check!()
         .with_type::<Vec<(u8, u16, u16, bool, u8)>>()
-        .for_each(|drawn| {
+        .for_each(|generated| {
             let mut seqs: BTreeMap<u8, u64> = BTreeMap::new();
-            let lines: Vec<String> = drawn
+            let lines: Vec<String> = generated
                 .iter()
                 .map(|(node, wall, up, executed, to)| {
                     let node = node % 4;
--- a/tests/integration/misses.rs
+++ b/tests/integration/misses.rs
@@ -148,11 +148,11 @@
 
 #[test]
 fn report_misses_separates_refusals_without_asked_node() {
-    let none = "{\"refused\":\"no_upstream\"}";
+    let no_upstream = "{\"refused\":\"no_upstream\"}";
     let unasked = "\"request\":\"r2\",\"class\":\"lookups\",\"end\":{\"refused\":\"no_upstream\"},\
                    \"asked\":0,\"took_ms\":0,\"target_ms\":300";
     let report = Lines::new()
-        .end(900, "r1", none, 10)
+        .end(900, "r1", no_upstream, 10)
         .add(901, 801, unasked)
         .report();
     let kinds = report.total.kinds.iter();
@@ -196,8 +196,8 @@
     assert_eq!(report.dropped_lines, 7);
 }
 
-/// Symptom: a class seems to miss its target with most requests, while its clients see that for one in twenty. Cause:
-/// only a sample of the requests on time is logged, and the lines were taken for complete counts.
+/// Failure: a class seems to miss its target with most requests, while its clients see that for one in twenty. Only a sample of
+/// the requests on time is logged, and the lines are taken for complete counts.
 #[test]
 fn report_misses_weighs_samples() {
     let report = Lines::new()
@@ -216,8 +216,7 @@
     assert_eq!(class.on_time_share_estimate, Some(16.0 / 25.0));
 }
 
-/// Symptom: a class is reported to have no request on time, though it has some. Cause: none of these few was in the
-/// sample.
+/// Failure: a class is reported to have no request on time, though it has some, because none of these few is in the sample.
 #[test]
 fn report_misses_gives_range_of_small_sample() {
     let mut lines = Lines::new();
@@ -226,8 +225,8 @@
     }
     let total = lines.report().total;
     assert_eq!(total.on_time_share_estimate, Some(0.0));
-    let (least, most) = total.on_time_share_range.expect("a range");
-    assert!(least < f64::EPSILON && most > 0.7, "{least} to {most}");
+    let (lower, upper) = total.on_time_share_range.expect("a range");
+    assert!(lower < f64::EPSILON && upper > 0.7, "{lower} to {upper}");
 }
 
 /// If every request is logged, the numbers are complete counts, and both limits of the range equal the share.
@@ -275,34 +274,30 @@
     assert_eq!(report.total.on_time_share_estimate, None);
 }
 
-/// Symptom: the command ends without a report. Sequence: a damaged line holds an extremely large time or number of
-/// lines. Cause: a date that can't be formatted, or a sum that overflows.
+/// Failure: the command ends without a report. A damaged line holds an extremely large time or number of lines, so a date can't be
+/// formatted or a sum overflows.
 #[test]
 fn report_misses_accepts_extreme_numbers() {
-    let most = u64::MAX;
-    let dropped = format!("\"lines\":{most}");
+    let max = u64::MAX;
+    let dropped = format!("\"lines\":{max}");
     let mut lines = Lines::new()
         .end(900, "r1", ANSWERED, 10)
-        .end(901, "r2", ANSWERED, most)
+        .end(901, "r2", ANSWERED, max)
         .add(902, 805, &dropped)
         .add(903, 805, &dropped);
     lines.all.push(line(
         "n1",
-        (STARTED_MS, most),
-        most,
+        (STARTED_MS, max),
+        max,
         801,
         "\"request\":\"r3\"",
     ));
-    lines.all.push(line(
-        "n2",
-        (STARTED_MS, 10),
-        most,
-        801,
-        "\"request\":\"r4\"",
-    ));
+    lines
+        .all
+        .push(line("n2", (STARTED_MS, 10), max, 801, "\"request\":\"r4\""));
     let report = lines.report();
     assert_eq!(report.total.lines, 4);
     let listed: u64 = report.windows.iter().map(|window| window.total.lines).sum();
     assert_eq!(listed, 4);
-    assert_eq!((report.dropped_lines, report.missing_lines), (most, most));
+    assert_eq!((report.dropped_lines, report.missing_lines), (max, max));
 }
