--- a/tests/integration/evacuations.rs
+++ b/tests/integration/evacuations.rs
@@ -15,7 +15,7 @@
     }
 }
 
-fn list(evacuations: &Evacuations) -> Vec<&str> {
+fn list_zones(evacuations: &Evacuations) -> Vec<&str> {
     let zones = evacuations.zones().iter();
     zones.map(AvailabilityZoneName::as_str).collect()
 }
@@ -24,10 +24,10 @@
 fn with_changes_two_zones() {
     let both = [change("a", true, 3), change("b", true, 4)];
     let known = Evacuations::default().with_changes(&both, 5, EvacuationRead::Incremental);
-    assert_eq!(list(&known), ["a", "b"]);
+    assert_eq!(list_zones(&known), ["a", "b"]);
     assert_eq!((known.position(), known.changed_at()), (5, 5));
     let known = known.with_changes(&[change("a", false, 6)], 7, EvacuationRead::Incremental);
-    assert_eq!(list(&known), ["b"]);
+    assert_eq!(list_zones(&known), ["b"]);
 }
 
 /// Failure: records that are read a second time bring back an evacuation that has ended.
@@ -37,14 +37,14 @@
     let ended = Evacuations::default()
         .with_changes(&started, 4, EvacuationRead::Incremental)
         .with_changes(&[change("a", false, 5)], 6, EvacuationRead::Incremental);
-    assert!(list(&ended).is_empty());
+    assert!(list_zones(&ended).is_empty());
     assert_eq!(
         ended.with_changes(&started, 4, EvacuationRead::Incremental),
         ended
     );
     let next_records = [change("a", true, 3), change("b", true, 6)];
     assert_eq!(
-        list(&ended.with_changes(&next_records, 7, EvacuationRead::Incremental)),
+        list_zones(&ended.with_changes(&next_records, 7, EvacuationRead::Incremental)),
         ["b"]
     );
 }
@@ -58,7 +58,7 @@
         EvacuationRead::Incremental,
     );
     let known = known.with_changes(&[change("b", true, 8)], 12, EvacuationRead::Full);
-    assert_eq!(list(&known), ["b"]);
+    assert_eq!(list_zones(&known), ["b"]);
 }
 
 /// Failure: a node that was disconnected brings an ended evacuation back on other nodes.
@@ -72,7 +72,7 @@
     let mut known =
         disconnected.with_changes(&[change("a", false, 5)], 6, EvacuationRead::Incremental);
     assert!(!known.replace_if_newer(&disconnected));
-    assert!(list(&known).is_empty());
+    assert!(list_zones(&known).is_empty());
     let mut disconnected = disconnected;
     assert!(disconnected.replace_if_newer(&known));
     assert_eq!(disconnected, known);
@@ -109,20 +109,20 @@
         second_epoch(5),
         EvacuationRead::Full,
     );
-    assert_eq!(list(&restored), ["a"]);
+    assert_eq!(list_zones(&restored), ["a"]);
     assert_eq!(restored.position(), second_epoch(5));
     let written = [
         change("a", true, second_epoch(5)),
         change("b", false, second_epoch(6)),
     ];
     let written = restored.with_changes(&written, second_epoch(7), EvacuationRead::Incremental);
-    assert_eq!(list(&written), ["a"]);
+    assert_eq!(list_zones(&written), ["a"]);
     let ended = written.with_changes(
         &[change("a", false, second_epoch(7))],
         second_epoch(8),
         EvacuationRead::Incremental,
     );
-    assert!(list(&ended).is_empty());
+    assert!(list_zones(&ended).is_empty());
 }
 
 /// Failure: an evacuation that is ordered after the store was restored isn't in force until the second full read.
@@ -139,7 +139,7 @@
         second_epoch(7),
         EvacuationRead::Full,
     );
-    assert_eq!(list(&restored), ["b"]);
+    assert_eq!(list_zones(&restored), ["b"]);
 }
 
 /// Failure: a reader that learns from another node that the store was restored treats the restored store as complete.
@@ -155,7 +155,7 @@
     assert!(other.replace_if_newer(&restored));
     for next in [second_epoch(3), second_epoch(4)] {
         let read = other.with_changes(&[], next, EvacuationRead::Full);
-        assert_eq!(list(&read), ["a"]);
+        assert_eq!(list_zones(&read), ["a"]);
     }
 }
 
@@ -168,12 +168,12 @@
         EvacuationRead::Incremental,
     );
     let restored = known.with_changes(&[], second_epoch(3), EvacuationRead::Full);
-    assert_eq!(list(&restored), ["a"]);
+    assert_eq!(list_zones(&restored), ["a"]);
     let settled = restored.with_changes(&[], second_epoch(3), EvacuationRead::AfterRewrites);
-    assert!(list(&settled).is_empty());
+    assert!(list_zones(&settled).is_empty());
     let mut other = restored;
     assert!(other.replace_if_newer(&settled));
-    assert!(list(&other).is_empty());
+    assert!(list_zones(&other).is_empty());
 }
 
 /// Whatever a restored store lacks and whatever is written again: after the second full read, nodes agree with the store. Until
@@ -205,10 +205,10 @@
             let latest = |records: &[(&str, bool)], epoch| -> Vec<EvacuationChange> {
                 let all = build_changes(records, 0, epoch);
                 let is_latest = |change: &EvacuationChange| {
-                    let newer = |other: &EvacuationChange| {
+                    let is_newer = |other: &EvacuationChange| {
                         other.zone == change.zone && other.position > change.position
                     };
-                    change.evacuated && !all.iter().any(newer)
+                    change.evacuated && !all.iter().any(is_newer)
                 };
                 all.iter()
                     .filter(|change| is_latest(change))
@@ -220,7 +220,7 @@
                 build_end(1, log.len()),
                 EvacuationRead::Incremental,
             );
-            let before = list(&known).join(",");
+            let before = list_zones(&known).join(",");
             let restored = known.with_changes(
                 &latest(&log[..kept], 2),
                 build_end(2, kept),
@@ -228,7 +228,7 @@
             );
             let lost = log[kept..].iter().filter(|(_, evacuated)| !evacuated);
             if lost.count() == 0 || kept == log.len() {
-                assert_eq!(list(&restored).join(","), before);
+                assert_eq!(list_zones(&restored).join(","), before);
             }
             for zone in known.zones() {
                 assert!(restored.contains(zone), "{zone} of {log:?}, {kept} kept");
@@ -242,6 +242,6 @@
                 build_end(2, log.len()),
                 EvacuationRead::AfterRewrites,
             );
-            assert_eq!(list(&settled).join(","), before);
+            assert_eq!(list_zones(&settled).join(","), before);
         });
 }
--- a/tests/integration/retiring_model.rs
+++ b/tests/integration/retiring_model.rs
@@ -52,8 +52,8 @@
     tracker_read: usize,
     /// Removal that was sent and has not reached the store yet: the log length that it expects.
     pending_removal: Option<usize>,
-    /// Steps of the third node, in order.
-    third: Vec<Step>,
+    /// Steps of the third node since its restart, in order.
+    third_steps: Vec<Step>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -74,7 +74,7 @@
             has_record_to_write: false,
             tracker_read: 1,
             pending_removal: None,
-            third: Vec::new(),
+            third_steps: Vec::new(),
         }
     }
 
@@ -147,27 +147,27 @@
     }
 
     fn step_third(&self, next: &mut Vec<Self>) {
-        if self.third.len() >= 3 {
+        if self.third_steps.len() >= 3 {
             return;
         }
         for (offset, entry) in self.log.iter().enumerate() {
             if matches!(entry, Entry::Written(_)) {
-                next.push(self.with_third(Step::FromPeer(offset + 1)));
+                next.push(self.with_third_step(Step::FromPeer(offset + 1)));
             }
         }
-        next.push(self.with_third(Step::Read(self.log.len())));
+        next.push(self.with_third_step(Step::Read(self.log.len())));
     }
 
-    fn with_third(&self, step: Step) -> Self {
+    fn with_third_step(&self, step: Step) -> Self {
         let mut world = self.clone();
-        world.third.push(step);
+        world.third_steps.push(step);
         world
     }
 
     /// Revision of the record that the third node has, according to the node's own code.
-    fn known_by_third(&self, without: Without) -> Option<u64> {
+    fn revision_at_third(&self, without: Without) -> Option<u64> {
         let mut directory = Directory::default();
-        for step in &self.third {
+        for step in &self.third_steps {
             match *step {
                 Step::FromPeer(revision) => {
                     let source = if without == Without::ReadPosition {
@@ -175,9 +175,9 @@
                     } else {
                         StateSource::Peer
                     };
-                    directory.apply_record(self.stored(revision), source);
+                    directory.apply_record(self.build_stored_record(revision), source);
                 }
-                Step::Read(up_to) => self.read_whole(&mut directory, up_to),
+                Step::Read(up_to) => self.read_newest_records(&mut directory, up_to),
             }
         }
         let node = directory.nodes.into_values().next();
@@ -185,11 +185,11 @@
     }
 
     /// Reads the newest records, as a node does at its start and after the store has deleted the entries that it would read next.
-    fn read_whole(&self, directory: &mut Directory, up_to: usize) {
+    fn read_newest_records(&self, directory: &mut Directory, up_to: usize) {
         let end = up_to as u64;
         match self.log[..up_to].last() {
             Some(Entry::Written(_)) => {
-                directory.apply_record(self.stored(up_to), StateSource::Store);
+                directory.apply_record(self.build_stored_record(up_to), StateSource::Store);
             }
             _ => {
                 directory.remove_dropped(end, |_| true);
@@ -198,7 +198,7 @@
         directory.advance_read_position(end);
     }
 
-    fn stored(&self, revision: usize) -> StoredRecord {
+    fn build_stored_record(&self, revision: usize) -> StoredRecord {
         let incarnation = match self.log[revision - 1] {
             Entry::Written(incarnation) => incarnation,
             Entry::Removed => 0,
@@ -237,8 +237,8 @@
         self.is_settled() && self.log.last() != Some(&Entry::Written(incarnation))
     }
 
-    /// Violation: a removal that was decided on the record of one incarnation removes the record of a later one.
-    fn removes_later_record(&self) -> bool {
+    /// Violation: a removal directly follows another one, so it was decided on a record that the store no longer had.
+    fn removes_missing_record(&self) -> bool {
         self.log.iter().enumerate().any(|(offset, entry)| {
             *entry == Entry::Removed && offset > 1 && self.log[offset - 1] == Entry::Removed
         })
@@ -246,7 +246,7 @@
 
     /// Violation: the third node accepts from a peer, as its last step, a record whose removal it has read already.
     fn restores_removed_record(&self, without: Without) -> bool {
-        let Some((last, before)) = self.third.split_last() else {
+        let Some((last, before)) = self.third_steps.split_last() else {
             return false;
         };
         let Step::FromPeer(revision) = *last else {
@@ -258,7 +258,7 @@
         });
         let read = read.max().unwrap_or(0);
         let was_removed = read >= revision && self.log[revision..read].contains(&Entry::Removed);
-        was_removed && self.known_by_third(without) == Some(revision as u64)
+        was_removed && self.revision_at_third(without) == Some(revision as u64)
     }
 }
 
@@ -268,7 +268,7 @@
         |world| world.steps(without),
         |world| {
             world.loses_running_node()
-                || world.removes_later_record()
+                || world.removes_missing_record()
                 || world.restores_removed_record(without)
         },
     )
--- a/tests/integration/retry_budget.rs
+++ b/tests/integration/retry_budget.rs
@@ -88,24 +88,24 @@
 
 #[test]
 fn estimate_max_calls_at_least_actual_calls() {
-    let (history, valve) = (ClassName::from("history"), ServiceName::from("irrigate"));
+    let (history, irrigate) = (ClassName::from("history"), ServiceName::from("irrigate"));
     let mut calls = CallsPerExecution::default();
     let mut now = Timestamp(0);
     for _ in 0..50 {
         let start = calls.record_start(&history, now);
         for _ in 0..2 {
-            calls.record_request(&valve, now);
+            calls.record_request(&irrigate, now);
         }
         calls.record_end(&history, &start);
         now = now + Duration::from_millis(40);
     }
     // Clients of the VM call the same service.
-    calls.record_request(&valve, now);
+    calls.record_request(&irrigate, now);
     let bound = calls.estimate_max_calls(&history, now);
     let [(service, amount)] = bound.as_slice() else {
         panic!("{bound:?}");
     };
-    assert_eq!(*service, valve);
+    assert_eq!(*service, irrigate);
     assert!((1.99..2.2).contains(amount), "{amount}");
 }
 
@@ -186,11 +186,11 @@
         }
     }
 
-    fn name(service: usize) -> ServiceName {
+    fn service_name(service: usize) -> ServiceName {
         format!("s{service}").as_str().into()
     }
 
-    fn class(service: usize) -> ClassName {
+    fn class_name(service: usize) -> ClassName {
         format!("c{service}").as_str().into()
     }
 
@@ -225,7 +225,7 @@
                 is_retry,
             } => {
                 let node = &mut self.nodes[entry];
-                node.calls.record_request(&Self::name(service), now);
+                node.calls.record_request(&Self::service_name(service), now);
                 let budget = node.budgets.entry(service).or_default();
                 budget.count_request(now, SETTINGS);
                 self.requests[service].push(now);
@@ -243,7 +243,7 @@
             } => {
                 let start = std::mem::take(&mut self.executions[execution]);
                 let service = self.nodes[node].service;
-                let class = Self::class(service);
+                let class = Self::class_name(service);
                 self.nodes[node].calls.record_end(&class, &start);
                 if fails && is_first_attempt && self.spend_retry(entry, service, now) {
                     self.start(millis, entry, service, false);
@@ -264,7 +264,7 @@
         let now = Timestamp(0) + Duration::from_millis(millis);
         let nodes_per_service = self.nodes.len() / self.requests.len();
         let node = service * nodes_per_service + self.random.random_range(0..nodes_per_service);
-        let class = Self::class(service);
+        let class = Self::class_name(service);
         if !is_first_attempt {
             for (called, amount) in self.nodes[node].calls.estimate_max_calls(&class, now) {
                 let called: usize = called.as_str()[1..].parse().expect("a number");
--- a/tests/integration/routing_table.rs
+++ b/tests/integration/routing_table.rs
@@ -105,8 +105,8 @@
                     .map(|(host, prefix)| (*host, prefix.as_str())),
             );
             let index = RouteIndex::new(table.clone());
-            let below = locations.iter().map(|(_, prefix)| format!("{prefix}a/b"));
-            for path in paths.iter().map(|path| build_path(path)).chain(below) {
+            let paths_below = locations.iter().map(|(_, prefix)| format!("{prefix}a/b"));
+            for path in paths.iter().map(|path| build_path(path)).chain(paths_below) {
                 for host_header in REQUEST_HOSTS {
                     assert_eq!(
                         index.find_route(host_header, &path),
--- a/tests/integration/slot_search.rs
+++ b/tests/integration/slot_search.rs
@@ -1,4 +1,4 @@
-//! Search for a free slot, with chosen and with arbitrary answers of the nodes.
+//! Search for a free slot, with fixed and with generated answers of the nodes.
 
 use bolero::check;
 use camphorturn::coordination::{
--- a/tests/integration/table_sources.rs
+++ b/tests/integration/table_sources.rs
@@ -1,4 +1,7 @@
 //! Choice of the node that a newer routing table is fetched from, and of the offers that are forwarded.
+//!
+//! An offer comes along the distribution tree of the zone, with the nodes that it is forwarded to. A report is the version in
+//! force at a node of any zone, sent with its requests.
 
 use bolero::{TypeGenerator, check};
 use camphorturn::{
@@ -45,20 +48,23 @@
     assert!(sources.record_report(node(1), NEWER, OWN_VERSION, START));
     sources.record_offer(offer(2, NEWER, &[]));
     sources.record_offer(offer(3, NEWER, &[]));
-    let late = START + OFFER_WAIT;
+    let after_wait = START + OFFER_WAIT;
     assert_eq!(
-        sources.plan_next_step(OWN_VERSION, late),
+        sources.plan_next_step(OWN_VERSION, after_wait),
         FetchStep::FetchOffered(node(2), NEWER)
     );
     assert_eq!(
-        sources.plan_next_step(OWN_VERSION, late),
+        sources.plan_next_step(OWN_VERSION, after_wait),
         FetchStep::FetchOffered(node(3), NEWER)
     );
     assert_eq!(
-        sources.plan_next_step(OWN_VERSION, late),
+        sources.plan_next_step(OWN_VERSION, after_wait),
         FetchStep::FetchReported(node(1), NEWER)
     );
-    assert_eq!(sources.plan_next_step(OWN_VERSION, late), FetchStep::Done);
+    assert_eq!(
+        sources.plan_next_step(OWN_VERSION, after_wait),
+        FetchStep::Done
+    );
 }
 
 #[test]
@@ -122,18 +128,18 @@
     let mut sources = TableSources::default();
     sources.record_report(node(1), NEWER, OWN_VERSION, START);
     sources.record_report(node(2), NEWER, OWN_VERSION, START);
-    let late = START + OFFER_WAIT;
+    let after_wait = START + OFFER_WAIT;
     assert_eq!(
-        sources.plan_next_step(OWN_VERSION, late),
+        sources.plan_next_step(OWN_VERSION, after_wait),
         FetchStep::FetchReported(node(2), NEWER)
     );
     sources.record_offer(offer(3, NEWER, &[]));
     assert_eq!(
-        sources.plan_next_step(OWN_VERSION, late),
+        sources.plan_next_step(OWN_VERSION, after_wait),
         FetchStep::FetchOffered(node(3), NEWER)
     );
     assert_eq!(
-        sources.plan_next_step(OWN_VERSION, late),
+        sources.plan_next_step(OWN_VERSION, after_wait),
         FetchStep::FetchReported(node(1), NEWER)
     );
 }
@@ -189,12 +195,15 @@
     ));
     assert_eq!(sources.take_forwardable_offers(OWN_VERSION), [newest]);
     assert!(sources.take_forwardable_offers(OWN_VERSION).is_empty());
-    let late = START + OFFER_WAIT;
+    let after_wait = START + OFFER_WAIT;
     assert_eq!(
-        sources.plan_next_step(OWN_VERSION, late),
+        sources.plan_next_step(OWN_VERSION, after_wait),
         FetchStep::FetchReported(node(5), NEWEST)
     );
-    assert_eq!(sources.plan_next_step(OWN_VERSION, late), FetchStep::Done);
+    assert_eq!(
+        sources.plan_next_step(OWN_VERSION, after_wait),
+        FetchStep::Done
+    );
     assert!(sources.take_forwardable_offers(OWN_VERSION).is_empty());
 }
 
@@ -261,11 +270,13 @@
         match step {
             FetchStep::FetchOffered(from, version) | FetchStep::FetchReported(from, version) => {
                 assert!(version > self.own_version);
-                let left = self
+                let remaining = self
                     .unfetched
                     .get_mut(&from)
                     .expect("the node reported a version");
-                *left = left.checked_sub(1).expect("one fetch per offer or report");
+                *remaining = remaining
+                    .checked_sub(1)
+                    .expect("one fetch per offer or report");
                 if succeeds {
                     self.own_version = version;
                 }
--- a/tests/integration/vm_slowdown.rs
+++ b/tests/integration/vm_slowdown.rs
@@ -36,10 +36,10 @@
     let slowdown = report(&mut history, 200, (0, 40));
     assert!(slowdown.should_start_now(Duration::from_millis(250)));
     // A further slowdown of the VM during that time still counts as a slow period.
-    let both = report(&mut history, 1_000, (60, 100));
-    assert!(!both.should_start_now(Duration::from_millis(250)));
-    let warm = report(&mut history, 100, (120, 140));
-    assert_eq!(warm.baseline_percent, 100);
+    let combined = report(&mut history, 1_000, (60, 100));
+    assert!(!combined.should_start_now(Duration::from_millis(250)));
+    let after_start = report(&mut history, 100, (120, 140));
+    assert_eq!(after_start.baseline_percent, 100);
 }
 
 /// Failure: a VM that stays slow gets no work at all, though the other VMs can't take all of it. The node waits for the end of a
