--- a/src/options/checked_file.rs
+++ b/src/options/checked_file.rs
@@ -33,7 +33,7 @@
 
 /// A violation of a rule that the schema can't express, such as one between two values.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct BrokenRule {
+pub struct RuleViolation {
     /// JSON pointer to the value to change.
     pub pointer: String,
     /// What is wrong with the value.
@@ -42,7 +42,7 @@
     pub suggestion: String,
 }
 
-impl BrokenRule {
+impl RuleViolation {
     /// Builds the violation for two values that contradict each other.
     #[must_use]
     pub fn conflict(pointer: impl Into<String>, message: String, suggestion: &str) -> Self {
@@ -85,7 +85,7 @@
     file_name: &str,
     text: &str,
     schema: &str,
-    check_rules: fn(&T) -> Vec<BrokenRule>,
+    check_rules: fn(&T) -> Vec<RuleViolation>,
 ) -> Result<T, Findings> {
     let document = JsonDocument::parse(file_name, text).map_err(|one| Findings(vec![one]))?;
     let mut findings = document.find_duplicate_keys();
--- a/src/options/configuration_rules.rs
+++ b/src/options/configuration_rules.rs
@@ -1,7 +1,7 @@
 //! Rules of a published configuration that its JSON schema can't express.
 
 use crate::{
-    options::checked_file::BrokenRule,
+    options::checked_file::RuleViolation,
     state::configuration::{ClassEntry, Configuration},
 };
 use std::collections::BTreeSet;
@@ -12,55 +12,55 @@
 /// must refer only to services that exist, must have a service with a weight above 0, and must not have a timeout
 /// below its target.
 #[must_use]
-pub fn check_configuration_rules(configuration: &Configuration) -> Vec<BrokenRule> {
+pub fn check_configuration_rules(configuration: &Configuration) -> Vec<RuleViolation> {
     let services = configuration.services.iter().enumerate();
     let services = services
         .map(|(index, service)| (format!("/services/{index}/name"), service.name.to_string()));
-    let classes = || configuration.classes.iter().enumerate();
-    let names =
-        classes().map(|(index, class)| (format!("/classes/{index}/name"), class.name.to_string()));
-    let host_prefixes = classes().map(|(index, class)| {
+    let indexed_classes = || configuration.classes.iter().enumerate();
+    let names = indexed_classes()
+        .map(|(index, class)| (format!("/classes/{index}/name"), class.name.to_string()));
+    let host_prefixes = indexed_classes().map(|(index, class)| {
         let host = class.host.to_ascii_lowercase();
         let pointer = format!("/classes/{index}/path_prefix");
         (pointer, format!("{host}{}", class.path_prefix))
     });
-    let mut broken = find_duplicates(services, "give each service a unique name");
-    broken.extend(find_duplicates(names, "give each class a unique name"));
-    broken.extend(find_duplicates(
+    let mut violations = find_duplicates(services, "give each service a unique name");
+    violations.extend(find_duplicates(names, "give each class a unique name"));
+    violations.extend(find_duplicates(
         host_prefixes,
         "use each pair of host and path prefix in one class only",
     ));
-    let known: BTreeSet<&str> = configuration
+    let service_names: BTreeSet<&str> = configuration
         .services
         .iter()
         .map(|service| service.name.as_str())
         .collect();
-    for (index, class) in classes() {
+    for (index, class) in indexed_classes() {
         let pointer = format!("/classes/{index}");
-        broken.extend(check_class(&pointer, class));
-        broken.extend(find_unknown_services(&pointer, class, &known));
+        violations.extend(check_class(&pointer, class));
+        violations.extend(find_unknown_services(&pointer, class, &service_names));
     }
-    broken
+    violations
 }
 
 /// Finds repeated names. `names` holds pairs of the JSON pointer to a name and the name.
 fn find_duplicates(
     names: impl Iterator<Item = (String, String)>,
     suggestion: &str,
-) -> Vec<BrokenRule> {
-    let mut seen = BTreeSet::new();
-    let mut broken = Vec::new();
+) -> Vec<RuleViolation> {
+    let mut seen_names = BTreeSet::new();
+    let mut violations = Vec::new();
     for (pointer, name) in names {
-        if !seen.insert(name.clone()) {
+        if !seen_names.insert(name.clone()) {
             let message = format!("`{name}` is used more than once");
-            broken.push(BrokenRule::conflict(pointer, message, suggestion));
+            violations.push(RuleViolation::conflict(pointer, message, suggestion));
         }
     }
-    broken
+    violations
 }
 
-fn check_class(pointer: &str, class: &ClassEntry) -> Vec<BrokenRule> {
-    let mut broken = Vec::new();
+fn check_class(pointer: &str, class: &ClassEntry) -> Vec<RuleViolation> {
+    let mut violations = Vec::new();
     if class.timeout_ms < class.target_ms {
         let message = format!(
             "the timeout of {} ms is shorter than the target of {} ms",
@@ -68,29 +68,29 @@
         );
         let suggestion = "raise `timeout_ms` or lower `target_ms`";
         let pointer = format!("{pointer}/timeout_ms");
-        broken.push(BrokenRule::conflict(pointer, message, suggestion));
+        violations.push(RuleViolation::conflict(pointer, message, suggestion));
     }
     if class.services.iter().all(|share| share.weight == 0) {
         let message = "no service of the class has a weight above 0".to_owned();
         let suggestion = "give at least one service a weight above 0";
         let pointer = format!("{pointer}/services");
-        broken.push(BrokenRule::conflict(pointer, message, suggestion));
+        violations.push(RuleViolation::conflict(pointer, message, suggestion));
     }
-    broken
+    violations
 }
 
 fn find_unknown_services(
     pointer: &str,
     class: &ClassEntry,
-    known: &BTreeSet<&str>,
-) -> Vec<BrokenRule> {
+    service_names: &BTreeSet<&str>,
+) -> Vec<RuleViolation> {
     let shares = class.services.iter().enumerate();
     shares
-        .filter(|(_, share)| !known.contains(share.name.as_str()))
+        .filter(|(_, share)| !service_names.contains(share.name.as_str()))
         .map(|(index, share)| {
             let message = format!("no service is named `{}`", share.name);
             let pointer = format!("{pointer}/services/{index}/name");
-            BrokenRule::conflict(
+            RuleViolation::conflict(
                 pointer,
                 message,
                 "add the service to `services`, or correct the name",
--- a/src/options/json_document.rs
+++ b/src/options/json_document.rs
@@ -11,7 +11,7 @@
 use std::collections::BTreeMap;
 
 /// Accepts comments and trailing commas, and no other extensions of JSON.
-const SYNTAX: ParseOptions = ParseOptions {
+const PARSE_OPTIONS: ParseOptions = ParseOptions {
     allow_comments: true,
     allow_loose_object_property_names: false,
     allow_trailing_commas: true,
@@ -55,10 +55,11 @@
             suggestion: "write JSON; comments and trailing commas are allowed".to_owned(),
         };
         let mut collector = PositionCollector::new(text);
-        let parsed = parse_to_ast(text, &CollectOptions::default(), &SYNTAX).map_err(|error| {
-            let position = collector.compute_position(error.range().start);
-            syntax_finding(position, error.kind().to_string())
-        })?;
+        let parsed =
+            parse_to_ast(text, &CollectOptions::default(), &PARSE_OPTIONS).map_err(|error| {
+                let position = collector.compute_position(error.range().start);
+                syntax_finding(position, error.kind().to_string())
+            })?;
         let root = parsed
             .value
             .ok_or_else(|| syntax_finding(TextPosition::START, "the file is empty".to_owned()))?;
