--- a/examples/added_time.rs
+++ b/examples/added_time.rs
@@ -71,7 +71,11 @@
     ];
     let mut rows = Vec::new();
     for connections in CONNECTION_COUNTS {
-        rows.extend(run_step(&paths, connections, Duration::from_secs(seconds)));
+        rows.extend(measure_paths(
+            &paths,
+            connections,
+            Duration::from_secs(seconds),
+        ));
     }
     if arguments.iter().any(|argument| argument == "--json") {
         println!("{}", serde_json::to_string_pretty(&rows).expect("JSON"));
@@ -125,7 +129,7 @@
 }
 
 /// Sends requests on all connections for `duration` and returns the latencies of each path.
-fn run_step(
+fn measure_paths(
     paths: &[(&'static str, SocketAddr); 3],
     connections: u64,
     duration: Duration,
--- a/examples/upper_bound.rs
+++ b/examples/upper_bound.rs
@@ -108,8 +108,8 @@
     requests: f64,
 }
 
-/// Upper bound of the score and its parts. The first three are shares of the weight of all requests; `unavoidable` is
-/// the price of the time that the VMs run.
+/// Upper bound of the score, and its parts. The first three are shares of requests that can be served, where the first
+/// two weight requests by class. `unavoidable` is the price of the time that the VMs run.
 struct Bound {
     whole_day: f64,
     worst_windows: f64,
@@ -183,7 +183,7 @@
     let mut sorted = window_credits.clone();
     sorted.sort_by(f64::total_cmp);
     sorted.truncate(WORST_WINDOW_COUNT);
-    let worst_windows = mean(&sorted);
+    let worst_windows = compute_mean(&sorted);
     let worst_class = class_shares
         .keys()
         .map(|class| {
@@ -286,11 +286,13 @@
         });
         (service_entry.slots * USABLE_SLOT_SHARE).floor() * speed
     });
-    let machines = site
+    let vm_groups = site
         .machines
         .iter()
-        .filter(|machines| machines.app.as_deref() == Some(service));
-    machines.map(|machines| machines.count * slots_per_vm).sum()
+        .filter(|vm_group| vm_group.app.as_deref() == Some(service));
+    vm_groups
+        .map(|vm_group| vm_group.count * slots_per_vm)
+        .sum()
 }
 
 /// Computes the served share of all requests, weighted by class.
@@ -315,6 +317,6 @@
 }
 
 #[expect(clippy::cast_precision_loss, reason = "a day has few windows")]
-fn mean(values: &[f64]) -> f64 {
+fn compute_mean(values: &[f64]) -> f64 {
     values.iter().sum::<f64>() / values.len().max(1) as f64
 }
--- a/src/local_mesh/store.rs
+++ b/src/local_mesh/store.rs
@@ -22,7 +22,7 @@
 const CONFIGURATION_KEY: &str = "configuration";
 /// Prefix of the keys of evacuated availability zones.
 const EVACUATION_KEY_PREFIX: &str = "evacuation/";
-/// Value of the records of evacuated zones. It is empty because the key names the zone.
+/// Value of the records of evacuated zones: an empty JSON object, because the key names the zone.
 const EVACUATION_VALUE: &[u8] = b"{}";
 
 /// How the store responds to calls.
--- a/tests/integration/contributing_page.rs
+++ b/tests/integration/contributing_page.rs
@@ -20,7 +20,7 @@
         .filter(|path_or_code| {
             PATH_PREFIXES
                 .iter()
-                .any(|root| path_or_code.starts_with(root))
+                .any(|prefix| path_or_code.starts_with(prefix))
         })
         .collect();
     assert!(paths.len() > 20, "the page names few files: {paths:?}");
--- a/tests/integration/imports.rs
+++ b/tests/integration/imports.rs
@@ -85,9 +85,9 @@
 #[test]
 fn sources_have_one_import_per_crate() {
     let mut files = Vec::new();
-    for root in SOURCE_FOLDERS {
+    for folder in SOURCE_FOLDERS {
         collect_source_files(
-            &Path::new(env!("CARGO_MANIFEST_DIR")).join(root),
+            &Path::new(env!("CARGO_MANIFEST_DIR")).join(folder),
             &mut files,
         );
     }
--- a/tests/integration/options.rs
+++ b/tests/integration/options.rs
@@ -60,11 +60,11 @@
 }
 
 /// Returns the keys that the type accepts in the object at `pointer`. They are read from the error message about an
-/// unknown key; `parse` deserializes a document and returns this message.
+/// unknown key; `get_error` tries to deserialize a document and returns this message.
 fn list_typed_keys(
     document: &Value,
     pointer: &str,
-    parse: fn(Value) -> String,
+    get_error: fn(Value) -> String,
 ) -> BTreeSet<String> {
     let mut document = document.clone();
     set_key(
@@ -72,36 +72,46 @@
         &join_pointer(pointer, "no-such-key"),
         json!(1),
     );
-    let message = parse(document);
+    let message = get_error(document);
     let quoted = message.split('`').skip(1).step_by(2);
     quoted.skip(1).map(str::to_owned).collect()
 }
 
-fn assert_same_keys(schema: &Value, document: &Value, pointer: &str, parse: fn(Value) -> String) {
+fn assert_same_keys(
+    schema: &Value,
+    document: &Value,
+    pointer: &str,
+    get_error: fn(Value) -> String,
+) {
     let properties = schema["properties"].as_object();
     if let Some(properties) = properties {
         let known: BTreeSet<String> = properties.keys().cloned().collect();
         assert_eq!(
             known,
-            list_typed_keys(document, pointer, parse),
+            list_typed_keys(document, pointer, get_error),
             "{pointer}"
         );
     }
     for (key, property) in properties.into_iter().flatten() {
         let pointer = join_pointer(pointer, key);
-        assert_same_keys(property, document, &pointer, parse);
-        assert_same_keys(&property["items"], document, &format!("{pointer}/0"), parse);
+        assert_same_keys(property, document, &pointer, get_error);
+        assert_same_keys(
+            &property["items"],
+            document,
+            &format!("{pointer}/0"),
+            get_error,
+        );
     }
 }
 
 #[test]
 fn schema_has_same_keys_as_types() {
-    let parse = |value| {
+    let get_error = |value| {
         serde_json::from_value::<Configuration>(value)
             .unwrap_err()
             .to_string()
     };
-    assert_same_keys(&parse_schema(), &parse_sample(), "", parse);
+    assert_same_keys(&parse_schema(), &parse_sample(), "", get_error);
 }
 
 #[test]
