--- a/tests/integration/command_line.rs
+++ b/tests/integration/command_line.rs
@@ -401,8 +401,8 @@
     assert_eq!(run(&["misses", "no-such-file.log"]).status.code(), Some(2));
 }
 
-/// Failure: the operators' token appears in a log or on a shared screen. The token is in the environment, somebody requests the help
-/// of a command, and the parser prints the environment variables that it reads together with their values.
+/// Failure: the operators' token appears in a log or on a shared screen. The token is in the environment, somebody requests the
+/// help of a command, and the parser prints the environment variables that it reads together with their values.
 #[test]
 fn help_hides_token() {
     let secret = "a-secret-of-operators";
--- a/tests/integration/log_reading.rs
+++ b/tests/integration/log_reading.rs
@@ -121,8 +121,8 @@
     }
 }
 
-/// Failure: lines of one process are in the wrong order, because they are sorted by wall-clock time and the wall clock jumps back by
-/// a minute while the process runs.
+/// Failure: lines of one process are in the wrong order, because they are sorted by wall-clock time and the wall clock jumps back
+/// by a minute while the process runs.
 #[test]
 fn order_lines_with_jumping_clock() {
     let lines = [
--- a/tests/integration/overload.rs
+++ b/tests/integration/overload.rs
@@ -34,9 +34,9 @@
     }
 }
 
-/// One upstream that requests reach at random times. As an entry node does, the replay first submits each request without a wait. If
-/// it is refused, it is submitted again with a wait up to its target if the reported finish time is within the target, and up to its
-/// deadline otherwise.
+/// One upstream that requests reach at random times. As an entry node does, the replay first submits each request without a wait.
+/// A refused request is submitted again: with a wait up to its target if the reported finish time is within the target, and up to
+/// its deadline otherwise.
 struct Replay {
     queue: SlotQueue,
     random: StdRng,
@@ -149,10 +149,10 @@
 /// Requests per second that the slots can execute.
 const CAPACITY: u32 = 100;
 
-/// Guards against a queue full of late requests at 1.5 times the capacity. 1 in 5 answers was on time where 3 in 5 could be, and a fourth of
-/// the clients were refused only after a second. Requests that can't be on time wait until their deadlines; the next ones queue behind
-/// them, can't be on time either and wait as well. The queue must not count a request as on time just because it can end within
-/// the time that it may wait.
+/// Guards against a queue full of requests that can't be on time, at 1.5 times the capacity. With such a queue, 1 in 5 answers is on
+/// time where 3 in 5 could be, and a fourth of the clients are refused only after a second. Requests that can't be on time wait
+/// until their deadlines; the next ones queue behind them, can't be on time either and wait as well. The queue must not count a
+/// request as on time just because the request can end within the time that it may wait.
 #[test]
 fn replay_above_capacity() {
     for seed in 0..5 {
--- a/tests/integration/proxy_decisions.rs
+++ b/tests/integration/proxy_decisions.rs
@@ -205,8 +205,8 @@
     assert!(upstream.serving().is_some());
 }
 
-/// Guards against a new upstream that gets no requests. The last announcement of its predecessor arrives after its own first one and
-/// must not make the predecessor the current incarnation.
+/// Guards against a new upstream that gets no requests. The last announcement of its predecessor arrives after the first one of
+/// the new upstream and must not make the predecessor the current incarnation.
 #[test]
 fn apply_announcement_by_former_incarnation() {
     let mut upstream = LocalUpstream::default();
@@ -229,8 +229,8 @@
     }
 }
 
-/// Guards against an upstream that gets no requests after a restart. It drains and starts again under the same instance name, and its
-/// sequence numbers begin again; its announcements must not count as late ones of the former incarnation.
+/// Guards against an upstream that gets no requests after a restart. The upstream drains and starts again under the same instance
+/// name, and its sequence numbers begin again; its announcements must not count as late ones of the former incarnation.
 #[test]
 fn apply_announcement_after_restart_same_instance() {
     let mut upstream = LocalUpstream::default();
--- a/tests/integration/retiring_model.rs
+++ b/tests/integration/retiring_model.rs
@@ -283,7 +283,7 @@
 }
 
 /// Failure: a record that was just written is removed. The first node restarts after the tracking node has read its old record,
-/// and the removal doesn't check whether the store has a newer one.
+/// and the removal doesn't check whether the store has a newer one. The shortest sequence found is a second removal of one record.
 #[test]
 fn explore_without_condition() {
     assert!(find_violation(Without::Condition).is_some());
--- a/tests/integration/slot_queue.rs
+++ b/tests/integration/slot_queue.rs
@@ -119,8 +119,8 @@
 }
 
 /// Failure: short requests are refused although they would finish in time. All slots of a slowed-down VM are occupied, and a
-/// request of 15 ms could start in the first free one despite the slowdown. The forecast assumes that it waits for the end of the
-/// slowdown, as a long request does.
+/// request of 15 ms could start in the first slot that becomes free, despite the slowdown. The forecast assumes that the request
+/// waits for the end of the slowdown, as a long request does.
 #[test]
 fn submit_short_request_waits_for_slot_during_slowdown() {
     let mut queue = SlotQueue::new(1, START);
--- a/tests/integration/slow_start.rs
+++ b/tests/integration/slow_start.rs
@@ -1,4 +1,4 @@
-//! Number of requests that a cold upstream gets within any second.
+//! Number of requests that a cold upstream, one that is still warming up, gets within any second.
 
 use camphorturn::{
     coordination::slow_start::{SlowStart, SlowStartSettings, WarmupReport},
--- a/tests/integration/table_spreading/mesh.rs
+++ b/tests/integration/table_spreading/mesh.rs
@@ -113,7 +113,7 @@
     pub is_ended: bool,
     /// Latest of the times at which the call started, its connection was opened and a part of its answer arrived.
     pub last_progress: Timestamp,
-    /// Whether this call repeats a fetch because another version came into force before the first answer arrived.
+    /// Whether this call fetches again because another version came into force before the answer to the first fetch arrived.
     pub is_second_fetch: bool,
     /// The version that results from the answer or that it reports, and the bytes of the change.
     pub answer: Option<(ConfigurationVersion, usize)>,
