--- a/soak/src/fault_plan.rs
+++ b/soak/src/fault_plan.rs
@@ -24,7 +24,7 @@
 /// more nodes share than a soak has.
 const LOW_BANDWIDTH_BYTES_PER_SECOND: u32 = 500_000;
 
-/// Fewest and most restores of the store from a snapshot, per seed.
+/// Fewest and most restores of the store from a backup, per seed.
 const STORE_RESTORES: (usize, usize) = (0, 2);
 
 /// Fewest and most evacuations per seed, and the shortest and longest duration of one. The longest exceeds the time within
@@ -81,7 +81,7 @@
     Store(StoreCondition),
     /// The store compacts its topics: older offsets can't be read any more.
     StoreForgets,
-    /// The store is restored from a snapshot that was taken when this fault started. Just before, it has this condition for a
+    /// The store is restored from a backup that was taken when this fault started. Just before, it has this condition for a
     /// short time.
     StoreReturns(StoreCondition),
     /// The node's link to the store is faulty for the fault's duration.
--- a/soak/src/seed_run.rs
+++ b/soak/src/seed_run.rs
@@ -32,7 +32,7 @@
 const KILL_AFTEREFFECT: Duration = Duration::from_secs(3);
 /// Shortest downtime of an upstream that a request has crashed.
 const CRASH_DOWNTIME: Duration = Duration::from_millis(300);
-/// Downtime of a store before it is restored from a snapshot.
+/// Downtime of a store before it is restored from a backup.
 const STORE_DOWNTIME: Duration = Duration::from_millis(400);
 /// Interval at which an operator retries while the store is unavailable.
 const STORE_POLL_INTERVAL: Duration = Duration::from_millis(50);
@@ -220,10 +220,10 @@
     }
 }
 
-/// Restores the store from a snapshot that is `age` old, unless another fault of the store is in progress. `condition` is
+/// Restores the store from a backup that is `age` old, unless another fault of the store is in progress. `condition` is
 /// the store's condition during the downtime before.
 async fn restore_store(mesh: &SoakMesh, condition: StoreCondition, age: Duration) {
-    let snapshot = mesh.store.take_snapshot();
+    let backup = mesh.store.take_backup();
     sleep(age).await;
     if mesh.store.condition() != StoreCondition::Healthy {
         return;
@@ -231,7 +231,7 @@
     let from = Instant::now();
     mesh.store.set_condition(condition);
     sleep(STORE_DOWNTIME).await;
-    let lost = mesh.store.restore_snapshot(snapshot);
+    let lost = mesh.store.restore_backup(backup);
     mesh.rewrite_lost(&lost);
     mesh.store.set_condition(StoreCondition::Healthy);
     mesh.record_update_outage(None, from);
--- a/stand-ins/src/store.rs
+++ b/stand-ins/src/store.rs
@@ -54,9 +54,9 @@
 }
 
 /// All records of a store at one point in time.
-pub struct StoreSnapshot(HashMap<String, Vec<Record>>);
+pub struct StoreBackup(HashMap<String, Vec<Record>>);
 
-/// A record that was appended after a snapshot and lost when the store was restored from it.
+/// A record that was appended after a backup and lost when the store was restored from it.
 #[derive(Clone, Debug)]
 pub struct LostRecord {
     /// Topic of the record.
@@ -79,7 +79,7 @@
     /// Number of calls by path and topic.
     call_counts: RefCell<HashMap<(String, String), u32>>,
     appended: Notify,
-    /// Epoch of the store: 1, and one more with each restore from a snapshot.
+    /// Epoch of the store: 1, and one more with each restore from a backup.
     epoch: Cell<u64>,
     /// Wakes the calls in progress when the store is restored.
     restored: Notify,
@@ -146,16 +146,16 @@
         self.state.first_offset.set(longest);
     }
 
-    /// Takes a snapshot of all records.
+    /// Takes a backup of all records.
     #[must_use]
-    pub fn take_snapshot(&self) -> StoreSnapshot {
-        StoreSnapshot(self.state.topics.borrow().clone())
+    pub fn take_backup(&self) -> StoreBackup {
+        StoreBackup(self.state.topics.borrow().clone())
     }
 
-    /// Restores a snapshot and starts a new epoch. Records appended since the snapshot are lost, their offsets are assigned
+    /// Restores a backup and starts a new epoch. Records appended since the backup are lost, their offsets are assigned
     /// again, and calls in progress end without an answer. Returns the lost records, those of a topic in the order of its log.
-    pub fn restore_snapshot(&self, snapshot: StoreSnapshot) -> Vec<LostRecord> {
-        let previous_topics = self.state.topics.replace(snapshot.0);
+    pub fn restore_backup(&self, backup: StoreBackup) -> Vec<LostRecord> {
+        let previous_topics = self.state.topics.replace(backup.0);
         self.state.epoch.update(|epoch| epoch + 1);
         self.state.restored.notify_waiters();
         let kept = self.state.topics.borrow();
