--- a/soak/src/link.rs
+++ b/soak/src/link.rs
@@ -170,7 +170,7 @@
     loop {
         let changed = state.changed.notified();
         match state.condition.get() {
-            LinkCondition::Slow(pause) => return sleep(pause).await,
+            LinkCondition::Slow(delay) => return sleep(delay).await,
             // Never returns: bytes after a dropped chunk must not be forwarded either.
             LinkCondition::AnswersLost if direction == Direction::Answer => pending().await,
             LinkCondition::Healthy | LinkCondition::AnswersLost => return,
--- a/stand-ins/src/upstream.rs
+++ b/stand-ins/src/upstream.rs
@@ -211,7 +211,7 @@
         self.state.is_leaving.set(is_leaving);
     }
 
-    /// Requests received so far, except health checks.
+    /// Requests received so far, except health checks and requests meant for another incarnation.
     #[must_use]
     pub fn received_requests(&self) -> Vec<PlainRequest> {
         self.state.received_requests.borrow().clone()
--- a/stand-ins/src/upstream/answer.rs
+++ b/stand-ins/src/upstream/answer.rs
@@ -14,7 +14,7 @@
 
 impl Answer {
     /// Prepares the answer to a request by an upstream with these settings.
-    pub fn to(settings: &UpstreamSettings, request: &PlainRequest) -> Self {
+    pub fn prepare(settings: &UpstreamSettings, request: &PlainRequest) -> Self {
         let names = settings.names;
         let body = if settings.echoes_request {
             let start = format!("{} {}\n", request.method, request.target);
--- a/stand-ins/src/upstream/serving.rs
+++ b/stand-ins/src/upstream/serving.rs
@@ -100,7 +100,7 @@
     }
     let action = state.planned_actions.borrow_mut().pop_front();
     let action = action.unwrap_or(UpstreamAction::Answer);
-    let answer = Answer::to(&state.settings, &request);
+    let answer = Answer::prepare(&state.settings, &request);
     if state.is_crashed_by_request(&request.target) {
         record_execution(state, &request);
         state.received_requests.borrow_mut().push(request);
