--- a/src/coordination/local_upstream.rs
+++ b/src/coordination/local_upstream.rs
@@ -21,7 +21,7 @@
     pub slots: u16,
     /// Whether the upstream is shutting down and accepts no new requests.
     pub leaving: bool,
-    /// Remaining warm-up time; zero if the upstream is warm.
+    /// Remaining warm-up time; zero if the upstream is not warming up.
     pub warmup_left: Duration,
     /// Sequence number; increases with each announcement of the same incarnation.
     pub sequence: u64,
--- a/src/coordination/slot_queue.rs
+++ b/src/coordination/slot_queue.rs
@@ -176,7 +176,7 @@
         self.slow_start.record_report(report, now);
     }
 
-    /// Whether the upstream is known to be cold.
+    /// Whether the upstream is known to be warming up.
     #[must_use]
     pub fn is_warming_up(&self, now: Timestamp) -> bool {
         self.slow_start.is_warming_up(now)
--- a/src/coordination/slow_start.rs
+++ b/src/coordination/slow_start.rs
@@ -1,10 +1,10 @@
 //! Limit on the requests that an upstream gets while it warms up.
 //!
-//! An upstream is cold until its warm-up ends. A cold upstream tolerates a limited request rate and crashes well above it. All
-//! requests reach it through its local node, so this node counts the starts of the last second. It also counts while the upstream
-//! is warm: the upstream may become cold at any time, and earlier starts within the same second count towards the limit.
+//! During its warm-up, an upstream tolerates a limited request rate and crashes well above it. All requests reach it through its
+//! local node, so this node counts the starts of the last second. It also counts while the upstream is not warming up: a warm-up
+//! may begin at any time, and earlier starts within the same second count towards the limit.
 //!
-//! Load pattern: all upstreams restart cold at once, and the requests queued meanwhile would start in one burst.
+//! Load pattern: all upstreams restart at once, and the requests queued meanwhile would start in one burst.
 
 use crate::state::timestamp::Timestamp;
 use std::{collections::VecDeque, time::Duration};
@@ -16,7 +16,7 @@
 /// Minimum time between the end of a node process and the start of the next one on the same VM.
 const MIN_RESTART_PAUSE: Duration = Duration::from_millis(100);
 
-/// Factor and slack that turn the request rate that a service tolerates while cold into the limit for any second, set by the
+/// Factor and slack that turn the request rate that a service tolerates during warm-up into the limit for any second, set by the
 /// operators.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SlowStartSettings {
@@ -36,7 +36,8 @@
 }
 
 impl SlowStartSettings {
-    /// Maximum number of requests within any second for a cold upstream that tolerates `requests_per_minute`; at least one.
+    /// Maximum number of requests within any second of the warm-up, if the upstream tolerates `requests_per_minute` then; at least
+    /// one.
     #[must_use]
     pub fn limit(&self, requests_per_minute: u32) -> usize {
         let per_second = f64::from(requests_per_minute) / 60.0;
@@ -100,7 +101,7 @@
     }
 
     /// Records that the current incarnation of the upstream got requests from an earlier process of this node. A warm-up that began
-    /// after that process ended doesn't rule this out: the upstream may have been cold before as well.
+    /// after that process ended doesn't rule this out: the upstream may have been warming up before as well.
     pub fn mark_incarnation_inherited(&mut self) {
         self.counted_since = Some(self.started);
         self.is_inherited = true;
@@ -123,7 +124,7 @@
             .filter(|counted| !began_in_this_process(*counted));
     }
 
-    /// Whether the upstream is known to be cold.
+    /// Whether the upstream is known to be warming up.
     #[must_use]
     pub fn is_warming_up(&self, now: Timestamp) -> bool {
         now < self.warmup_until
@@ -142,7 +143,7 @@
         self.starts.push_back(now);
     }
 
-    /// Time until a request may start if `ahead` other requests start before it; zero if the upstream is not known to be cold.
+    /// Time until a request may start if `ahead` other requests start before it; zero if no warm-up of the upstream is known.
     #[must_use]
     pub fn wait(&self, ahead: usize, now: Timestamp) -> Duration {
         if !self.is_warming_up(now) {
--- a/src/log_reading/description.rs
+++ b/src/log_reading/description.rs
@@ -132,7 +132,7 @@
     let mut text = line.name.replace('_', " ");
     for (name, value) in &line.fields {
         let value = match value {
-            Value::String(word) => word.clone(),
+            Value::String(text) => text.clone(),
             other => other.to_string(),
         };
         // Writing to a string never fails.
--- a/src/proxy/executing/warmup.rs
+++ b/src/proxy/executing/warmup.rs
@@ -12,7 +12,7 @@
 use http::HeaderMap;
 use std::{rc::Rc, time::Duration};
 
-/// Maximum age of the last health response while the upstream counts as warm. It may need a new warm-up at any time.
+/// Maximum age of the last health response while the upstream is not known to be warming up. A warm-up may begin at any time.
 const MAX_WARMUP_AGE: Duration = Duration::from_millis(250);
 
 /// Records the remaining warm-up time that the upstream reports. Logs the start of a warm-up.
--- a/tests/integration/slow_start.rs
+++ b/tests/integration/slow_start.rs
@@ -1,4 +1,4 @@
-//! Number of requests that a cold upstream, one that is still warming up, gets within any second.
+//! Number of requests that an upstream gets within any second of its warm-up.
 
 use camphorturn::{
     coordination::slow_start::{SlowStart, SlowStartSettings, WarmupReport},
@@ -43,31 +43,32 @@
 }
 
 #[test]
-fn wait_warm_upstream() {
+fn wait_without_warmup() {
     let mut slow_start = SlowStart::new(at(0));
     assert_eq!(start_all(&mut slow_start, at(0)), 2 * LIMIT);
     slow_start.record_report(report(Duration::ZERO), at(10));
     assert!(slow_start.wait(0, at(10)).is_zero());
 }
 
-/// Failure: requests of an earlier node process aren't counted. The upstream was cold before, and became cold again just as the
-/// node restarted.
+/// Failure: requests of an earlier node process aren't counted. The upstream was warming up before, and began another warm-up
+/// just as the node restarted.
 #[test]
-fn wait_inherited_incarnation_cold_again() {
+fn wait_inherited_incarnation_second_warmup() {
     let mut slow_start = SlowStart::new(at(10_000));
-    let cold_again = report(Duration::from_millis(2_902));
-    slow_start.record_report(cold_again, at(10_010));
+    let second_warmup = report(Duration::from_millis(2_902));
+    slow_start.record_report(second_warmup, at(10_010));
     slow_start.mark_incarnation_inherited();
-    slow_start.record_report(cold_again, at(10_010));
+    slow_start.record_report(second_warmup, at(10_010));
     let wait = slow_start.wait(0, at(10_010));
     assert!(wait >= Duration::from_millis(990), "{wait:?}");
     assert!(start_all(&mut slow_start, at(10_010) + wait) > 0);
     slow_start.begin_incarnation();
-    slow_start.record_report(cold_again, at(12_000));
+    slow_start.record_report(second_warmup, at(12_000));
     assert!(slow_start.wait(0, at(13_100)).is_zero());
 }
 
-/// Failure: a restarted node sends a cold upstream its full limit, although the earlier process has done so within the same second.
+/// Failure: a restarted node sends an upstream in warm-up its full limit, although the earlier process has done so within the same
+/// second.
 #[test]
 fn wait_upstream_older_than_node() {
     let mut slow_start = SlowStart::new(at(10_000));
@@ -86,7 +87,7 @@
     assert!(slow_start.wait(LIMIT, at(10_060)) >= Duration::from_millis(1_950));
 }
 
-/// Failure: requests that an upstream got while it was still warm aren't counted after it becomes cold.
+/// Failure: requests that an upstream got before its warm-up began aren't counted during the warm-up.
 #[test]
 fn wait_counts_starts_before_warmup() {
     let mut slow_start = SlowStart::new(at(0));
@@ -112,7 +113,7 @@
 }
 
 #[test]
-fn wait_ends_when_warm() {
+fn wait_ends_after_warmup() {
     let mut slow_start = SlowStart::new(at(0));
     slow_start.record_report(report(Duration::from_millis(300)), at(5_000));
     start_all(&mut slow_start, at(5_000));
@@ -120,8 +121,8 @@
     assert_eq!(slow_start.wait(9, at(5_300)), Duration::ZERO);
 }
 
-/// For any sequence of arrivals, node restarts, upstream restarts and warm-ups: an upstream that has reported that it is cold gets
-/// no more than its limit within any second.
+/// For any sequence of arrivals, node restarts, upstream restarts and warm-ups: an upstream that has reported its warm-up
+/// gets no more than its limit within any second.
 #[test]
 fn wait_keeps_limit_over_random_events() {
     bolero::check!()
@@ -132,27 +133,27 @@
 fn run_events(events: &[(u8, u16)]) {
     let mut now = at(60_000);
     let mut slow_start = SlowStart::new(now);
-    let mut cold_since = now;
+    let mut warmup_start = now;
     slow_start.record_report(report(WARMUP), now);
     let mut starts: Vec<Timestamp> = Vec::new();
     for (event, pause) in events {
         now = now + Duration::from_millis(1 + u64::from(*pause % 700));
-        let remaining = WARMUP.saturating_sub(now.since(cold_since));
+        let remaining = WARMUP.saturating_sub(now.since(warmup_start));
         match event % 8 {
             // The node process has ended, and a new one starts after a pause.
             0 => {
                 now = now + Duration::from_millis(150);
                 slow_start = SlowStart::new(now);
-                let remaining = WARMUP.saturating_sub(now.since(cold_since));
+                let remaining = WARMUP.saturating_sub(now.since(warmup_start));
                 slow_start.record_report(report(remaining), now);
             }
             1 => {
-                cold_since = now;
+                warmup_start = now;
                 slow_start.begin_incarnation();
                 slow_start.record_report(report(WARMUP), now);
             }
             2 => {
-                cold_since = now;
+                warmup_start = now;
                 slow_start.record_report(report(WARMUP), now);
             }
             3 => slow_start.record_report(report(remaining), now),
@@ -162,13 +163,13 @@
                 }
             }
         }
-        assert_limit(&starts, cold_since);
+        assert_limit(&starts, warmup_start);
     }
 }
 
 /// Asserts that no second of the warm-up has more starts than the limit.
-fn assert_limit(starts: &[Timestamp], cold_since: Timestamp) {
-    let warmup = cold_since..cold_since + WARMUP;
+fn assert_limit(starts: &[Timestamp], warmup_start: Timestamp) {
+    let warmup = warmup_start..warmup_start + WARMUP;
     let during_warmup = starts.iter().filter(|start| warmup.contains(start));
     let during_warmup: Vec<Timestamp> = during_warmup.copied().collect();
     for first in &during_warmup {
