--- a/soak/src/checks.rs
+++ b/soak/src/checks.rs
@@ -95,18 +95,18 @@
 ) -> Option<Violation> {
     let promise = match &request.answer {
         _ if !request.idempotent && request_executions.len() > 1 => {
-            "what must not run twice runs once"
+            "a request that is not idempotent is executed at most once"
         }
         Ok((503 | 429, _)) if !request.idempotent && !request_executions.is_empty() => {
-            "refused means not run"
+            "a refused request is not executed"
         }
         Ok((200, _)) if request_executions.is_empty() => {
-            "an answer comes from an upstream that ran it"
+            "an answer comes from an upstream that executed the request"
         }
         Ok((200, body)) if !body.contains(&request.target) => "an answer is the one to its request",
         Ok((404, _)) if request.route_version == 0 => "a route that is in force is never denied",
         Ok((200 | 404 | 429 | 500 | 502 | 503 | 504, _)) | Err(_) => return None,
-        Ok(_) => "no status that nobody gave",
+        Ok(_) => "an answer has an expected status",
     };
     Some(build_violation(promise, request, request_executions))
 }
@@ -173,7 +173,7 @@
     }
     // A lost answer without any fault of the node is a violation in any case.
     let promise = if stopped {
-        "a planned stop cuts nothing off"
+        "a planned stop aborts no request"
     } else {
         "a request is answered"
     };
@@ -191,7 +191,7 @@
         .iter()
         .filter(|execution| !sent.contains_key(execution.target.as_str()))
         .map(|execution| Violation {
-            promise: "upstreams run what callers asked",
+            promise: "upstreams execute only requests that callers sent",
             observed: format!("{} at {}", execution.target, execution.instance),
         })
         .collect()
@@ -215,7 +215,7 @@
                 && execution.executed_at > *at + DRAIN_LIMIT
         });
         found.extend(late.map(|execution| Violation {
-            promise: "a leaving upstream gets no work",
+            promise: "a draining upstream gets no requests",
             observed: format!(
                 "{} at {instance}, {} ms after",
                 execution.target,
@@ -286,7 +286,7 @@
             .any(|window| window[WARMUP_REQUESTS_PER_SECOND].duration_since(window[0]) < second);
         if exceeds_limit {
             found.push(Violation {
-                promise: "a cold upstream gets what it tolerates",
+                promise: "an upstream gets no more requests than it tolerates during its warm-up",
                 observed: format!(
                     "more than {WARMUP_REQUESTS_PER_SECOND} requests in a second at node {}",
                     warmup.node
@@ -321,7 +321,7 @@
             .count();
         if late > MAX_LATE_EXECUTIONS {
             found.push(Violation {
-                promise: "what crashes upstreams is kept from them",
+                promise: "a request that crashes upstreams is quarantined",
                 observed: format!(
                     "{target}: {late} late executions of {}",
                     request_executions.len()
--- a/soak/tests/checks.rs
+++ b/soak/tests/checks.rs
@@ -74,11 +74,11 @@
     let whole = Ok((200, "POST /book/1\n"));
     assert_eq!(
         check_one("/book/1", whole, 2),
-        ["what must not run twice runs once"]
+        ["a request that is not idempotent is executed at most once"]
     );
     assert_eq!(
         check_one("/book/1", Ok((503, "")), 1),
-        ["refused means not run"]
+        ["a refused request is not executed"]
     );
     let other = Ok((200, "GET /look/2\n"));
     assert_eq!(
@@ -88,7 +88,7 @@
     let invented = Ok((200, "GET /look/1\n"));
     assert_eq!(
         check_one("/look/1", invented, 0),
-        ["an answer comes from an upstream that ran it"]
+        ["an answer comes from an upstream that executed the request"]
     );
     assert_eq!(
         check_one("/look/1", Ok((404, "")), 0),
@@ -100,7 +100,7 @@
     );
     assert_eq!(
         check_one("/look/1", Ok((418, "")), 0),
-        ["no status that nobody gave"]
+        ["an answer has an expected status"]
     );
 }
 
@@ -108,10 +108,10 @@
 fn check_unrequested() {
     let now = Instant::now();
     let found = check(&History::default(), &[executed("/look/9", now)]);
-    assert_eq!(found, ["upstreams run what callers asked"]);
+    assert_eq!(found, ["upstreams execute only requests that callers sent"]);
 }
 
-fn check_cut_at_stop(planned: bool) -> Vec<&'static str> {
+fn check_aborted_at_stop(planned: bool) -> Vec<&'static str> {
     let began = Instant::now();
     let now = began + 100 * MILLISECOND;
     let history = History {
@@ -128,9 +128,12 @@
 }
 
 #[test]
-fn check_cut_by_planned_stop() {
-    assert_eq!(check_cut_at_stop(true), ["a planned stop cuts nothing off"]);
-    assert_eq!(check_cut_at_stop(false), [""; 0]);
+fn check_aborted_by_planned_stop() {
+    assert_eq!(
+        check_aborted_at_stop(true),
+        ["a planned stop aborts no request"]
+    );
+    assert_eq!(check_aborted_at_stop(false), [""; 0]);
 }
 
 #[test]
@@ -151,7 +154,7 @@
         ..History::default()
     };
     let found = check(&history, &[executed("/look/1", late)]);
-    assert_eq!(found, ["a leaving upstream gets no work"]);
+    assert_eq!(found, ["a draining upstream gets no requests"]);
     assert_eq!(
         check(&history, &[executed("/look/1", now + MILLISECOND)]),
         [""; 0]
@@ -280,7 +283,7 @@
 #[test]
 fn check_warmup_limit() {
     assert!(check_warmup(WARMUP_REQUESTS_PER_SECOND, Vec::new()).is_empty());
-    let violation = ["a cold upstream gets what it tolerates"];
+    let violation = ["an upstream gets no more requests than it tolerates during its warm-up"];
     assert_eq!(
         check_warmup(WARMUP_REQUESTS_PER_SECOND + 1, Vec::new()),
         violation
@@ -324,7 +327,7 @@
 fn check_crashing_request_broken() {
     assert_eq!(
         check_crashing(13, None),
-        ["what crashes upstreams is kept from them"]
+        ["a request that crashes upstreams is quarantined"]
     );
 }
 
