--- a/soak/src/history.rs
+++ b/soak/src/history.rs
@@ -1,4 +1,4 @@
-//! Record of a seed's run: requests, acknowledged changes, faults and broken promises. The checks read it.
+//! Record of a seed's run: requests, acknowledged changes, faults and violations. The checks read it.
 
 use camphorturn::local_mesh::client::CallFailure;
 use serde::Serialize;
