--- a/soak/src/checks.rs
+++ b/soak/src/checks.rs
@@ -79,7 +79,7 @@
     Violation {
         promise,
         observed: format!(
-            "{} at node {}: {:?} after {} ms, run by {by:?}",
+            "{} at node {}: {:?} after {} ms, executed by {by:?}",
             request.target,
             request.node,
             request.answer,
--- a/src/coordination/slot_search.rs
+++ b/src/coordination/slot_search.rs
@@ -2,7 +2,7 @@
 //! queue of the node where the request would finish soonest.
 //!
 //! Load pattern: all upstreams of a service are full for seconds. Each request would ask nodes of other zones in vain, and each
-//! attempt carries the request body and costs by the byte. So a recent refusal of such a node is taken as its answer to this
+//! attempt carries the request body and costs by the byte. So a recent refusal by such a node counts as its answer to this
 //! request too.
 //!
 //! The search is pure: the caller passes in each answer and the elapsed time, and performs the step that is returned.
