--- a/src/proxy/client_reply.rs
+++ b/src/proxy/client_reply.rs
@@ -44,10 +44,7 @@
             reply_json(StatusCode::GATEWAY_TIMEOUT, "no answer within the deadline")
         }
         RequestOutcome::Unknown(cause) => {
-            let text = format!(
-                "unknown whether the request was executed: {}",
-                get_variant_name(&cause)
-            );
+            let text = format!("unknown whether it ran: {}", get_variant_name(&cause));
             reply_json(StatusCode::BAD_GATEWAY, &text)
         }
         RequestOutcome::NoRoute => reply_json(StatusCode::NOT_FOUND, "no route"),
--- a/src/proxy/peer_requests.rs
+++ b/src/proxy/peer_requests.rs
@@ -122,7 +122,7 @@
         .as_ref()
         .and_then(|value| HopRequest::decode(value.to_str().ok()?));
     let Some(hop) = hop else {
-        return reply_json(StatusCode::BAD_REQUEST, "missing or invalid hop header");
+        return reply_json(StatusCode::BAD_REQUEST, "not a message between nodes");
     };
     record_peer_version(core, hop.sender, hop.version);
     let completed = execute(core, &hop, req).await;
--- a/src/transport/callers/body.rs
+++ b/src/transport/callers/body.rs
@@ -18,7 +18,7 @@
     #[error("body too slow")]
     Timeout,
     /// The body is truncated or malformed.
-    #[error("body malformed or truncated")]
+    #[error("body malformed or cut short")]
     Malformed,
 }
 
--- a/src/transport/operators/answer.rs
+++ b/src/transport/operators/answer.rs
@@ -17,7 +17,7 @@
     )]
     NotFound,
     /// The path is known but doesn't allow the method; holds the allowed methods.
-    #[error("this path accepts {0} only")]
+    #[error("this path takes {0} only")]
     MethodNotAllowed(&'static str),
     /// A query parameter is missing or invalid.
     #[error("query parameter `{name}` must be {expected}")]
@@ -40,7 +40,7 @@
     #[error("the store can't be read: {0}")]
     StoreUnavailable(String),
     /// The store did not confirm an append, which may have been executed all the same.
-    #[error("the store has not confirmed the change, try again: {0}")]
+    #[error("the store has not confirmed it, ask again: {0}")]
     StoreUnconfirmed(String),
     /// The event loop has ended.
     #[error("the node is stopping")]
